--- a/packages/saddledoor/src/saddledoor/__init__.py
+++ b/packages/saddledoor/src/saddledoor/__init__.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Coordination parts of a rollout service, free of I/O and clocks.
+Decision logic of a rollout service, without I/O, clocks or randomness.
 
-Time, randomness and messages come in as arguments, so every decision can be tested,
-replayed and embedded.
+Time, random values and messages are passed as arguments, so that every decision can be
+tested, replayed and embedded.
 """
 
 from __future__ import annotations
--- a/packages/saddledoor/src/saddledoor/_burn.py
+++ b/packages/saddledoor/src/saddledoor/_burn.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Service-level burn: counting good and bad events, and how fast budgets are spent.
+Service-level objectives: counts good and bad events, and computes burn rates.
 
-VMs keep nothing, so each process writes its running totals to the log now and then. A
-later total covers an earlier one that was lost; what a process counted after its last
-record and before it died is a hole, and never counts as good.
+VMs have no persistent storage, so each process writes its running totals to the log
+periodically. A later total includes those of a lost record. Events that a process
+counted between its last record and a crash are a gap, and never count as good.
 Source: multi-window burn rates of the site reliability literature.
 """
 
@@ -21,18 +21,18 @@
 
 __all__ = ["BurnMeter", "BurnRow", "Hole", "Observation", "burn_rows", "find_holes"]
 
-#: Records of a process that may be missing before a hole is told, a count.
-_PATIENCE = 2.5
+#: Number of missed records after which a process is reported as a gap.
+_MAX_MISSED_RECORDS = 2.5
 
 
 @dataclass(frozen=True)
 class Observation:
     """
-    One event that objectives may count.
+    An event that objectives may count.
 
     :param kind: ``latency``, ``refusals``, ``idle`` or ``freshness``.
-    :param subject: The partner, ``trainer:`` and a trainer, or ``pool:`` and a pool.
-    :param value: Seconds, versions, or 1 for a refusal and 0 for none.
+    :param subject: Name of a partner, ``trainer:NAME`` or ``pool:NAME``.
+    :param value: Seconds, versions, or 1 for a refused request and 0 for another.
     """
 
     kind: str
@@ -43,30 +43,32 @@
 @dataclass
 class BurnMeter:
     """
-    Running totals of one process, by objective and subject.
+    Running totals of one process.
+
+    :param totals: Good events and all events by ``objective|subject``.
     """
 
     totals: dict[str, tuple[int, int]] = field(default_factory=dict)
 
     def observe(self, objectives: Iterable[Objective], event: Observation) -> None:
         """
-        Count an event under every objective that it falls under.
+        Count an event for every objective that covers it.
         """
         for objective in objectives:
             if objective.kind != event.kind or not objective.covers(event.subject):
                 continue
             key = f"{objective.name}|{event.subject}"
             good, total = self.totals.get(key, (0, 0))
-            met = event.value <= objective.threshold
-            self.totals[key] = (good + met, total + 1)
+            is_good = event.value <= objective.threshold
+            self.totals[key] = (good + is_good, total + 1)
 
 
 @dataclass(frozen=True)
 class Hole:
     """
-    A time in which a process counted what nobody will learn.
+    A period in which the events of a process were not recorded.
 
-    :param since: Time of its last record, in seconds since 1970.
+    :param since: Time of the process's last record, in seconds since 1970.
     """
 
     data_centre: str
@@ -77,12 +79,14 @@
 @dataclass(frozen=True)
 class BurnRow:
     """
-    One objective of one subject over one window.
-
-    :param rate: Budget spent in the window, as a multiple of what may be spent; none
-        if nothing was counted.
-    :param left: Share of the window's budget that is left; below zero if overspent.
-    :param by_data_centre: Bad events, by data centre.
+    One objective of one subject over one time window.
+
+    :param window_s: Length of the window, in seconds.
+    :param rate: Burn rate: spent error budget as a multiple of the window's budget;
+        None without events.
+    :param left: Share of the window's budget that is left, negative if overspent; None
+        without events.
+    :param by_data_centre: Number of bad events by data centre.
     """
 
     objective: str
@@ -103,28 +107,31 @@
     now: float,
 ) -> list[BurnRow]:
     """
-    Work out every objective over the window that ends now.
+    Evaluate every objective over the window that ends now.
 
     :param records: Log time in seconds since 1970 and record, oldest first.
-    :param window: In seconds.
+    :param window: Length of the window, in seconds.
+    :param now: Time in seconds since 1970.
     """
-    spent = _within(records, now - window)
+    counts_by_place = _sum_events_after(records, now - window)
     rows = []
     for objective in objectives:
-        subjects = sorted({s for name, s, _ in spent if name == objective.name})
+        subjects = sorted(
+            {s for name, s, _ in counts_by_place if name == objective.name}
+        )
         for subject in subjects:
             counts = {
                 data_centre: count
-                for (name, who, data_centre), count in spent.items()
+                for (name, who, data_centre), count in counts_by_place.items()
                 if (name, who) == (objective.name, subject)
             }
-            rows.append(_row(objective, subject, window, counts))
+            rows.append(_make_row(objective, subject, window, counts))
     return rows
 
 
 def find_holes(records: Iterable[tuple[float, BurnTotals]], now: float) -> list[Hole]:
     """
-    Return processes that ended, or fell silent, without a last record.
+    Return the processes that stopped writing records without a final one.
     """
     newest: dict[str, tuple[float, BurnTotals]] = {}
     for at, record in records:
@@ -132,16 +139,16 @@
     return [
         Hole(record.data_centre, record.incarnation, at)
         for at, record in newest.values()
-        if not record.final and now - at > _PATIENCE * record.every
+        if not record.final and now - at > _MAX_MISSED_RECORDS * record.every
     ]
 
 
-def _within(
+def _sum_events_after(
     records: Iterable[tuple[float, BurnTotals]], start: float
 ) -> dict[tuple[str, str, str], tuple[int, int]]:
     """
-    Return good and total counts that were added after ``start``, by objective,
-    subject and data centre.
+    Return the good events and all events counted after ``start``, by objective, subject
+    and data centre.
     """
     before: dict[tuple[str, str], tuple[int, int]] = {}
     after: dict[tuple[str, str], tuple[int, int]] = {}
@@ -151,17 +158,22 @@
         for key, counts in record.totals.items():
             target = before if at < start else after
             target[(record.incarnation, key)] = counts
-    spent: dict[tuple[str, str, str], tuple[int, int]] = defaultdict(lambda: (0, 0))
+    counts_by_place: dict[tuple[str, str, str], tuple[int, int]] = defaultdict(
+        lambda: (0, 0)
+    )
     for (incarnation, key), (good, total) in after.items():
         good_before, total_before = before.get((incarnation, key), (0, 0))
         name, _, subject = key.partition("|")
         place = (name, subject, data_centres[incarnation])
-        known = spent[place]
-        spent[place] = (known[0] + good - good_before, known[1] + total - total_before)
-    return dict(spent)
+        place_counts = counts_by_place[place]
+        counts_by_place[place] = (
+            place_counts[0] + good - good_before,
+            place_counts[1] + total - total_before,
+        )
+    return dict(counts_by_place)
 
 
-def _row(
+def _make_row(
     objective: Objective,
     subject: str,
     window: float,
--- a/packages/saddledoor/src/saddledoor/_claims.py
+++ b/packages/saddledoor/src/saddledoor/_claims.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Who may run an unrepeatable request: the first claim of its key in the log.
+Decides who may run an unrepeatable request: the first claim of its key in the log.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from ._records import ClaimBatch, ClaimRelease, KeyClaim, Record
 
 
-__all__ = ["ClaimFold", "IssuedKeys", "KeyState", "key_digest", "partition_of"]
+__all__ = ["ClaimFold", "IssuedKeys", "IssuedKey", "key_digest", "partition_of"]
 
 
 def key_digest(partner: str, service: str, key: str) -> str:
     """
-    Return the name of a caller's key; partners and services never share one.
+    Return the digest of a caller's key, distinct for each partner and service.
     """
     text = "\x00".join((partner, service, key))
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
@@ -27,19 +27,20 @@
 
 def partition_of(digest: str, partitions: int) -> int:
     """
-    Return the partition of the claim stream that decides a key.
+    Return the partition of the claim stream that a key belongs to.
     """
     return int(digest[:8], 16) % partitions
 
 
 class ClaimFold:
     """
-    Owners of keys in one partition, by the log's order.
+    Owners of the keys of one partition, folded from the log.
 
-    State is updated in place: the fold holds every key that is remembered.
+    The state is updated in place, since it holds every key of the retention period.
 
-    :param remember: How long a key is remembered, in seconds of the log's own time,
-        so that every reader forgets it at the same record.
+    :param retention: How long a key is retained, in seconds of the log's clock, so
+        that every reader drops it at the same record.
+    :param first: Offset of the first record to fold.
     """
 
     @property
@@ -49,8 +50,8 @@
         """
         return self._next_offset
 
-    def __init__(self, remember: float, first: int = 0) -> None:
-        self._remember = remember
+    def __init__(self, retention: float, first: int = 0) -> None:
+        self._retention = retention
         self._next_offset = first
         self._owners: OrderedDict[str, tuple[KeyClaim, float]] = OrderedDict()
 
@@ -61,56 +62,56 @@
         """
         Fold one record.
 
-        :param logged_at: When the log took the record, by the log's clock, in seconds.
-        :param record: The record, or none if it could not be decoded.
+        :param logged_at: When the record was appended, in seconds of the log's clock.
+        :param record: The record, or None if it could not be decoded.
         """
         if offset < self._next_offset:
             return
         self._next_offset = offset + 1
-        self._forget(logged_at)
+        self._forget_expired(logged_at)
         match record:
             case ClaimBatch():
-                self._claim(record, logged_at)
+                self._apply_claim(record, logged_at)
             case ClaimRelease():
-                self._release(record)
+                self._apply_release(record)
 
     def owner(self, key: str) -> KeyClaim | None:
         """
-        Return the claim that won a key, or none.
+        Return the claim that owns a key, or None.
         """
         entry = self._owners.get(key)
         return entry[0] if entry else None
 
-    def _claim(self, batch: ClaimBatch, logged_at: float) -> None:
+    def _apply_claim(self, batch: ClaimBatch, logged_at: float) -> None:
         for claim in batch.claims:
             self._owners.setdefault(claim.key, (claim, logged_at))
 
-    def _release(self, record: ClaimRelease) -> None:
+    def _apply_release(self, record: ClaimRelease) -> None:
         claim = self.owner(record.key)
         if claim is not None and claim.claim_id == record.claim_id:
             del self._owners[record.key]
 
-    def _forget(self, logged_at: float) -> None:
-        for key in list(_older(self._owners, logged_at - self._remember)):
+    def _forget_expired(self, logged_at: float) -> None:
+        for key in list(_keys_logged_before(self._owners, logged_at - self._retention)):
             del self._owners[key]
 
 
-def _older(
-    owners: OrderedDict[str, tuple[KeyClaim, float]], limit: float
+def _keys_logged_before(
+    owners: OrderedDict[str, tuple[KeyClaim, float]], cutoff: float
 ) -> Iterator[str]:
-    # Claims stand in the log's order, so the old ones are in front.
+    # Claims are stored in log order, so the oldest ones come first.
     for key, (_, logged_at) in owners.items():
-        if logged_at >= limit:
+        if logged_at >= cutoff:
             return
         yield key
 
 
 @dataclass
-class KeyState:
+class IssuedKey:
     """
-    What this VM's memory knows of a key that it issued.
+    A key that this VM issued.
 
-    :param partner: Who asked for it; it is nobody else's.
+    :param partner: The only partner that may use it.
     """
 
     partner: str
@@ -119,20 +120,19 @@
 
 class IssuedKeys:
     """
-    Keys that name this VM's incarnation as their decider.
+    Keys issued by this process, which name it as their issuer.
 
-    They need no log: the incarnation is never replaced, so its memory is the only
-    judge of its keys, and a key of another incarnation is spent.
+    They need no log: each incarnation is unique, so the memory of the issuing process
+    decides whether a key was used. A key that it does not know counts as used.
 
     :param incarnation: Unique name of this process.
-    :param capacity: Keys kept; issuing beyond it forgets unused keys, which are
-        then spent.
+    :param capacity: Maximum number of keys; beyond it the oldest ones are dropped.
     """
 
     def __init__(self, incarnation: str, capacity: int = 100_000) -> None:
         self._incarnation = incarnation
         self._capacity = capacity
-        self._keys: OrderedDict[str, KeyState] = OrderedDict()
+        self._keys: OrderedDict[str, IssuedKey] = OrderedDict()
 
     def issue(self, nonce: str, partner: str) -> str:
         """
@@ -141,24 +141,26 @@
         :param nonce: Random text without a dot.
         """
         key = f"vm.{self._incarnation}.{nonce}"
-        self._keys[key] = KeyState(partner)
+        self._keys[key] = IssuedKey(partner)
         while len(self._keys) > self._capacity:
             self._keys.popitem(last=False)
         return key
 
     def take(self, key: str, partner: str) -> bool:
         """
-        Use a key up; true the first time only, and only for its own partner.
+        Mark a key as used.
+
+        :returns: Whether the key was issued to this partner and not used before.
         """
-        state = self._keys.get(key)
-        if state is None or state.used or state.partner != partner:
+        issued_key = self._keys.get(key)
+        if issued_key is None or issued_key.used or issued_key.partner != partner:
             return False
-        state.used = True
+        issued_key.used = True
         return True
 
     def give_back(self, key: str) -> None:
         """
-        Make a key usable again after nothing was handed over.
+        Make a used key usable again, if its request was not handed to a service.
         """
         if key in self._keys:
             self._keys[key].used = False
@@ -166,7 +168,7 @@
     @staticmethod
     def decider(key: str) -> str | None:
         """
-        Return the incarnation that decides a key, or none for a caller's own key.
+        Return the incarnation that issued a key, or None for a caller's own key.
         """
         parts = key.split(".")
         return parts[1] if len(parts) == 3 and parts[0] == "vm" else None
--- a/packages/saddledoor/src/saddledoor/_config_fold.py
+++ b/packages/saddledoor/src/saddledoor/_config_fold.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which configuration is accepted: a pure fold over the log's configuration stream.
+Decides which configuration is accepted: a pure fold over the configuration stream.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 __all__ = ["NO_BASE", "Accepted", "ConfigFold", "InForce", "PublishResult"]
 
-#: The base of a proposal that expects no configuration to be accepted yet.
+#: Base of a proposal that expects that no configuration has been accepted yet.
 NO_BASE = -1
 
-#: Publications whose outcome is kept for their author, a count.
-_RESULTS_KEPT = 256
+#: Maximum number of publications whose result is kept for their author.
+_MAX_RESULTS = 256
 
 
 @dataclass(frozen=True)
@@ -31,8 +31,8 @@
     """
     An accepted configuration.
 
-    :param offset: Offset of its proposal, which is its name everywhere.
-    :param document: The packed canonical file.
+    :param offset: Offset of its proposal, which identifies it everywhere.
+    :param document: Canonical form of the file, packed by `pack_document`.
     """
 
     offset: int
@@ -42,10 +42,11 @@
 @dataclass(frozen=True)
 class PublishResult:
     """
-    What became of one proposal.
+    Result of one proposal.
 
-    :param state: ``pending``, ``accepted``, ``invalid`` or ``lost`` (a race).
-    :param winner: Offset that was accepted when a race was lost.
+    :param state: ``pending``, ``accepted``, ``invalid``, or ``lost`` if another
+        proposal was accepted first.
+    :param winner: Offset of the configuration that was accepted instead.
     """
 
     state: str
@@ -56,60 +57,64 @@
 @dataclass(frozen=True)
 class ConfigFold:
     """
-    The fold's state. Every node that read the same records holds the same state.
+    State of the fold; the same on every node that read the same records.
 
-    A node that starts when old records are gone is not anchored: it keeps what it
-    reads and decides nothing until a snapshot tells the state at an offset that it
-    has itself read on from.
+    A node that starts after old records were dropped is not synced: it buffers the
+    records that it reads, and decides nothing until a snapshot supplies the state at
+    an offset from which it has read every record.
 
     :param next_offset: Offset of the next record to fold.
-    :param anchored: Whether ``accepted`` is the truth up to ``next_offset``.
+    :param synced: Whether ``accepted`` includes every record below ``next_offset``.
     :param pending: Proposals without a verdict, by offset.
-    :param results: Offset and outcome of the newest publications, by record id.
+    :param results: Offset and result of the newest publications, by record id.
+    :param buffered_records: Offsets and records that await a snapshot.
+    :param first_read: Oldest offset that the log had when the node started.
     """
 
     next_offset: int = 0
-    anchored: bool = True
+    synced: bool = True
     accepted: Accepted | None = None
     pending: dict[int, ConfigProposal] = field(default_factory=dict)
     results: dict[str, tuple[int, PublishResult]] = field(default_factory=dict)
-    unanchored: tuple[tuple[int, Record], ...] = ()
+    buffered_records: tuple[tuple[int, Record], ...] = ()
     first_read: int = 0
 
     @classmethod
     def starting_at(cls, first: int) -> ConfigFold:
         """
-        Return the state of a node whose log begins at ``first``.
+        Return the initial state of a node whose log begins at offset ``first``.
         """
-        return cls(next_offset=first, first_read=first, anchored=first == 0)
+        return cls(next_offset=first, first_read=first, synced=first == 0)
 
     def apply(self, offset: int, record: Record) -> ConfigFold:
         """
-        Fold one record; records that were folded before change nothing.
+        Fold one record; one that was folded before has no effect.
 
-        :param offset: The record's offset; never skips one that the log still has.
+        :param offset: Offset of the record; the caller skips none that the log has.
         """
         if offset < self.next_offset:
             return self
-        moved = replace(self, next_offset=offset + 1)
-        if self.anchored:
-            return _apply_anchored(moved, offset, record)
-        moved = replace(moved, unanchored=(*self.unanchored, (offset, record)))
+        advanced = replace(self, next_offset=offset + 1)
+        if self.synced:
+            return _apply_synced(advanced, offset, record)
+        advanced = replace(
+            advanced, buffered_records=(*self.buffered_records, (offset, record))
+        )
         if isinstance(record, ConfigSnapshot) and record.folded_to >= self.first_read:
-            return _anchor(moved, record)
-        return moved
+            return _sync_from_snapshot(advanced, record)
+        return advanced
 
     def result_of(self, record_id: str) -> tuple[int, PublishResult] | None:
         """
-        Return offset and outcome of a publication, or none if it was not read.
+        Return offset and result of a publication, or None if it is unknown.
         """
         return self.results.get(record_id)
 
     def snapshot(self) -> ConfigSnapshot | None:
         """
-        Return the record that lets others start here, or none without a state.
+        Return a snapshot record of the state, or None if nothing is accepted.
         """
-        if not self.anchored or self.accepted is None:
+        if not self.synced or self.accepted is None:
             return None
         pending = tuple(PendingProposal(o, p) for o, p in self.pending.items())
         return ConfigSnapshot(
@@ -117,71 +122,72 @@
         )
 
 
-def _anchor(state: ConfigFold, snapshot: ConfigSnapshot) -> ConfigFold:
-    # The snapshot is the whole state at its writer's reading position; what came
-    # between that position and the snapshot is folded again here, in order.
-    anchored = replace(
+def _sync_from_snapshot(state: ConfigFold, snapshot: ConfigSnapshot) -> ConfigFold:
+    # The snapshot holds the state at its writer's read position. The records between
+    # that position and the snapshot are folded here.
+    synced = replace(
         state,
-        anchored=True,
+        synced=True,
         accepted=Accepted(snapshot.offset, snapshot.document),
         pending={p.offset: p.proposal for p in snapshot.pending},
-        unanchored=(),
+        buffered_records=(),
     )
-    for offset, record in state.unanchored:
+    for offset, record in state.buffered_records:
         if offset >= snapshot.folded_to:
-            anchored = _apply_anchored(anchored, offset, record)
-    return anchored
+            synced = _apply_synced(synced, offset, record)
+    return synced
 
 
-def _apply_anchored(state: ConfigFold, offset: int, record: Record) -> ConfigFold:
+def _apply_synced(state: ConfigFold, offset: int, record: Record) -> ConfigFold:
     match record:
         case ConfigProposal():
-            return _propose(state, offset, record)
+            return _apply_proposal(state, offset, record)
         case ConfigVerdict():
-            return _decide(state, record)
+            return _apply_verdict(state, record)
         case _:
             return state
 
 
-def _propose(state: ConfigFold, offset: int, record: ConfigProposal) -> ConfigFold:
-    # Only a proposal that was edited from the accepted file can still win, so a loser
-    # is told at once, without waiting for a verdict.
+def _apply_proposal(
+    state: ConfigFold, offset: int, record: ConfigProposal
+) -> ConfigFold:
+    # A proposal with an outdated base cannot be accepted and needs no verdict.
     accepted = _accepted_offset(state)
     if record.base != accepted:
-        lost = PublishResult("lost", "", accepted)
-        return _settle(state, offset, record, lost)
-    waiting = replace(state, pending={**state.pending, offset: record})
-    return _settle(waiting, offset, record, PublishResult("pending"))
+        lost_result = PublishResult("lost", "", accepted)
+        return _record_result(state, offset, record, lost_result)
+    with_pending = replace(state, pending={**state.pending, offset: record})
+    return _record_result(with_pending, offset, record, PublishResult("pending"))
 
 
-def _decide(state: ConfigFold, verdict: ConfigVerdict) -> ConfigFold:
+def _apply_verdict(state: ConfigFold, verdict: ConfigVerdict) -> ConfigFold:
     proposal = state.pending.get(verdict.proposal)
     if proposal is None:
         return state
     others = {k: v for k, v in state.pending.items() if k != verdict.proposal}
     if not verdict.valid:
-        refused = PublishResult("invalid", verdict.reason)
+        invalid_result = PublishResult("invalid", verdict.reason)
         decided = replace(state, pending=others)
-        return _settle(decided, verdict.proposal, proposal, refused)
+        return _record_result(decided, verdict.proposal, proposal, invalid_result)
     accepted = Accepted(verdict.proposal, proposal.document)
     decided = replace(state, accepted=accepted, pending={})
-    lost = PublishResult("lost", "", verdict.proposal)
-    for offset, loser in others.items():
-        decided = _settle(decided, offset, loser, lost)
-    won = PublishResult("accepted")
-    return _settle(decided, verdict.proposal, proposal, won)
+    lost_result = PublishResult("lost", "", verdict.proposal)
+    for offset, lost_proposal in others.items():
+        decided = _record_result(decided, offset, lost_proposal, lost_result)
+    accepted_result = PublishResult("accepted")
+    return _record_result(decided, verdict.proposal, proposal, accepted_result)
 
 
-def _settle(
+def _record_result(
     state: ConfigFold, offset: int, proposal: ConfigProposal, result: PublishResult
 ) -> ConfigFold:
-    # An append whose answer was lost may stand in the log twice: what an accepted
-    # one of the two came to is the publication's outcome.
+    # The log may hold a publication twice if its append was repeated. If one of the two
+    # was accepted, that is the result.
     known = state.results.get(proposal.record_id)
     if known is not None and known[1].state == "accepted":
         return state
     results = {**state.results, proposal.record_id: (offset, result)}
-    newest = list(results.items())[-_RESULTS_KEPT:]
+    newest = list(results.items())[-_MAX_RESULTS:]
     return replace(state, results=dict(newest))
 
 
@@ -192,11 +198,12 @@
 @dataclass(frozen=True)
 class InForce:
     """
-    The configuration that a node serves by; its offset never goes down.
+    The configuration that a node uses; its offset never decreases.
 
-    It may come from the node's own fold or from a peer that has folded further.
+    It comes from the node's own fold or from a peer that has read more of the log.
 
-    :param unusable: Newest accepted offset that this release could not use.
+    :param accepted: The configuration, or None if none has been accepted.
+    :param unusable: Newest accepted offset that this release cannot use; -1 for none.
     """
 
     accepted: Accepted | None = None
@@ -205,15 +212,15 @@
     @property
     def offset(self) -> int:
         """
-        Offset in force, or -1.
+        Offset of the active configuration, or -1.
         """
         return self.accepted.offset if self.accepted else NO_BASE
 
     def offer(self, accepted: Accepted | None, usable: bool = True) -> InForce:
         """
-        Take a newer accepted configuration; an older or equal one changes nothing.
+        Activate a newer accepted configuration; an older or equal one has no effect.
 
-        :param usable: Whether this release can use it; if not, the last one stays.
+        :param usable: Whether this release can use it; if not, the current one stays.
         """
         if accepted is None or accepted.offset <= max(self.offset, self.unusable):
             return self
--- a/packages/saddledoor/src/saddledoor/_delivery.py
+++ b/packages/saddledoor/src/saddledoor/_delivery.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: MIT
 
 """
-Exactly-once delivery of a step's samples to a trainer that pulls with a cursor.
+Exactly-once delivery of a step's samples to a trainer that fetches with a cursor.
 
-The trainer's own set of received slots is the truth. The collector numbers every
-answer; the next fetch names the number of the answer that the trainer kept. Whatever
-the collector cannot match to that (another collector, a revoked answer, a trainer
-back at its checkpoint) ends in a resync: the trainer submits the step again and names
-the slots that it holds.
+The trainer's own set of received slots is authoritative. The collector numbers its
+batches; the cursor of the next fetch is the number of the last batch that the trainer
+kept. A cursor that does not match (a new collector, a revoked batch, a trainer restored
+from a checkpoint) leads to a resync: the trainer submits the step again with the slots
+that it holds.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 @dataclass(frozen=True, order=True)
 class Slot:
     """
-    A sample's place in a step.
+    Position of a sample in a step.
     """
 
     group: int
@@ -42,7 +42,7 @@
 @dataclass(frozen=True)
 class SampleSpec:
     """
-    What a trainer asks for in a slot.
+    A sample that a trainer requests for a slot.
 
     :param max_tokens: Length of the answer, in tokens.
     """
@@ -55,7 +55,10 @@
 @dataclass(frozen=True)
 class Sample:
     """
-    A whole, labelled answer for a slot.
+    A complete, labelled answer for a slot.
+
+    :param tokens: Length of the text, in tokens.
+    :param runs: Weight versions of the tokens.
     """
 
     slot: Slot
@@ -68,11 +71,13 @@
 @dataclass(frozen=True)
 class FetchRequest:
     """
-    A trainer asks for samples.
+    A trainer's request for samples.
 
-    :param fence: Fencing number of the collector that the trainer last heard.
-    :param cursor: Number of the last answer that the trainer kept; 0 for none.
-    :param version: The trainer's weight version now.
+    :param fence: Fencing number of the collector that answered the last submit.
+    :param cursor: Number of the last batch that the trainer kept, or the cursor that
+        the submit returned.
+    :param version: Current weight version of the trainer.
+    :param limit: Maximum number of samples in the batch.
     """
 
     fence: int
@@ -84,10 +89,10 @@
 @dataclass(frozen=True)
 class Batch:
     """
-    An answer to a fetch.
+    Samples that answer a fetch.
 
-    :param number: The cursor that the trainer names next, if it keeps the answer.
-    :param remaining: Slots that the trainer does not hold after this answer.
+    :param number: Cursor of the trainer's next fetch, if it keeps the batch.
+    :param remaining: Number of slots that the trainer lacks after this batch.
     """
 
     fence: int
@@ -99,7 +104,9 @@
 @dataclass(frozen=True)
 class Resync:
     """
-    The fetch cannot be matched; the trainer must submit the step again.
+    The cursor or the collector is unknown; the trainer must submit the step again.
+
+    :param fence: Fencing number of the collector that answers.
     """
 
     fence: int
@@ -108,10 +115,13 @@
 @dataclass
 class StepBook:
     """
-    What one collector knows of one step.
+    Delivery state of one step at one collector.
 
-    :param fence: This collector's fencing number.
-    :param bound: The trainer's staleness bound, in versions.
+    :param fence: Fencing number of the collector.
+    :param bound: Staleness bound of the trainer, in weight versions.
+    :param specs: Requested samples by slot.
+    :param received: Slots that the trainer is known to hold.
+    :param ready: Samples that the trainer has not confirmed, by slot.
     """
 
     fence: int
@@ -119,9 +129,9 @@
     specs: dict[Slot, SampleSpec]
     received: set[Slot] = field(default_factory=set)
     ready: dict[Slot, Sample] = field(default_factory=dict)
-    _number: int = 0
-    _kept: int = 0
-    _outstanding: tuple[Slot, ...] = ()
+    _last_number: int = 0
+    _confirmed_number: int = 0
+    _unconfirmed_slots: tuple[Slot, ...] = ()
 
     @classmethod
     def open(
@@ -133,32 +143,39 @@
         before: StepBook | None = None,
     ) -> StepBook:
         """
-        Open the book of a submitted step.
+        Start the delivery of a submitted step.
 
-        :param received: Slots that the trainer says it holds; its word is the truth.
-        :param before: This collector's earlier book of the step. Its finished samples
-            are kept, and numbering goes on above its numbers: a request that was held
-            up on its way must not match an answer of the new book.
+        :param received: Slots that the trainer holds, by its own account.
+        :param before: Earlier delivery of the step at this collector, or None. Its
+            ready samples are kept, and numbers continue above its own, so that a
+            delayed fetch cannot match a batch of the new delivery.
         """
         by_slot = {spec.slot: spec for spec in specs}
-        held = set(received) & by_slot.keys()
-        start = before._number + 1 if before else 0
-        book = cls(fence, bound, by_slot, held, _number=start, _kept=start)
+        received_slots = set(received) & by_slot.keys()
+        start = before._last_number + 1 if before else 0
+        delivery = cls(
+            fence,
+            bound,
+            by_slot,
+            received_slots,
+            _last_number=start,
+            _confirmed_number=start,
+        )
         for sample in before.ready.values() if before else ():
-            book.add(sample)
-        return book
+            delivery.add(sample)
+        return delivery
 
     @property
     def cursor(self) -> int:
         """
-        The cursor that a trainer begins with after submitting.
+        Cursor of the trainer's first fetch after a submit.
         """
-        return self._kept
+        return self._confirmed_number
 
     @property
     def missing(self) -> list[SampleSpec]:
         """
-        Slots that need a sample: neither received nor ready.
+        Requested samples of slots that are neither received nor ready.
         """
         return [
             spec
@@ -175,9 +192,9 @@
 
     def add(self, sample: Sample) -> bool:
         """
-        Offer a finished attempt; the first whole and labelled one of a slot wins.
+        Add a finished sample; the first fully labelled one of a slot is used.
 
-        :returns: Whether it was taken.
+        :returns: Whether the sample was added.
         """
         slot = sample.slot
         if slot not in self.specs or slot in self.received or slot in self.ready:
@@ -189,9 +206,10 @@
 
     def drop_stale(self, version: int) -> int:
         """
-        Forget ready samples that are too old, so that their slots are made again.
+        Drop ready samples beyond the staleness bound; their slots are generated again.
 
-        :returns: How many were dropped.
+        :param version: Current weight version of the trainer.
+        :returns: Number of dropped samples.
         """
         stale = [
             slot
@@ -206,30 +224,30 @@
         """
         Answer a fetch.
 
-        The samples of an answer stay ready until the trainer names its number, so an
-        answer that was lost costs nothing; its slots may come again, judged anew.
+        The samples of a batch stay ready until the trainer confirms its number. The
+        slots of a lost batch are sent again, after a new check of their staleness.
         """
-        known = request.fence == self.fence and self._match_cursor(request.cursor)
-        if not known:
+        matched = request.fence == self.fence and self._accept_cursor(request.cursor)
+        if not matched:
             return Resync(self.fence)
         self.drop_stale(request.version)
         samples = tuple(self.ready.values())[: request.limit]
-        self._number += 1
-        self._outstanding = tuple(sample.slot for sample in samples)
+        self._last_number += 1
+        self._unconfirmed_slots = tuple(sample.slot for sample in samples)
         remaining = len(self.specs) - len(self.received) - len(samples)
-        return Batch(self.fence, self._number, samples, remaining)
+        return Batch(self.fence, self._last_number, samples, remaining)
 
-    def _match_cursor(self, cursor: int) -> bool:
-        if cursor == self._number:
-            self._confirm()
+    def _accept_cursor(self, cursor: int) -> bool:
+        if cursor == self._last_number:
+            self._mark_received()
             return True
-        # The newest answer was not kept: it is revoked, its samples stay ready. Any
-        # other number is one that was revoked or forgotten.
-        return cursor == self._kept
+        # The previous cursor revokes the newest batch, whose samples stay ready. Any
+        # other number belongs to a revoked or unknown batch.
+        return cursor == self._confirmed_number
 
-    def _confirm(self) -> None:
-        for slot in self._outstanding:
+    def _mark_received(self) -> None:
+        for slot in self._unconfirmed_slots:
             self.received.add(slot)
             self.ready.pop(slot, None)
-        self._kept = self._number
-        self._outstanding = ()
+        self._confirmed_number = self._last_number
+        self._unconfirmed_slots = ()
--- a/packages/saddledoor/src/saddledoor/_deployment.py
+++ b/packages/saddledoor/src/saddledoor/_deployment.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The deployment file: what operators declare, as checked frozen data classes.
+Schema of the deployment file that operators write, as validated frozen dataclasses.
 """
 
 from __future__ import annotations
@@ -50,11 +50,11 @@
 @_checked
 class Engine:
     """
-    One model engine.
+    An engine that serves the models of a pool.
 
-    :param slots: Requests it works on at once, a count.
-    :param state: ``serving``, or ``leaving`` when it must get no new work.
-    :param fenced: Whether it refuses orders that carry an old fencing number.
+    :param slots: Maximum number of concurrent requests.
+    :param state: ``serving``, or ``leaving`` if it must receive no new work.
+    :param fenced: Whether it rejects orders with an outdated fencing number.
     """
 
     name: Name
@@ -68,9 +68,9 @@
 @_checked
 class Model:
     """
-    A model or adapter of a pool, and the weight version it should be at.
+    A model or adapter of a pool, and the weight version that it should have.
 
-    :param version: A pinned version, or ``follow`` for the weight store's newest.
+    :param version: A pinned version, or ``follow`` for the newest in the weight store.
     """
 
     name: Name
@@ -82,7 +82,7 @@
     """
     Engines that serve the same models.
 
-    :param swap_share: Largest share of a data centre's engines that may swap at once.
+    :param swap_share: Maximum share of a data centre's engines that swap at a time.
     """
 
     name: Name
@@ -94,7 +94,9 @@
 @_checked
 class Route:
     """
-    A path prefix of a service and whether its calls may be repeated.
+    A path prefix of a service.
+
+    :param unrepeatable: Whether its calls must run at most once.
     """
 
     path: Annotated[str, Field(pattern=r"^/[A-Za-z0-9/_.-]*$")]
@@ -104,7 +106,10 @@
 @_checked
 class Instance:
     """
-    One process of a plain service.
+    One process of a service.
+
+    :param slots: Maximum number of concurrent requests.
+    :param state: ``serving``, or ``leaving`` if it must receive no new work.
     """
 
     name: Name
@@ -117,7 +122,7 @@
 @_checked
 class Service:
     """
-    A plain service that calls are passed through to.
+    A service to which calls are forwarded unchanged.
     """
 
     name: Name
@@ -126,16 +131,18 @@
 
     def route(self, path: str) -> Route | None:
         """
-        Return the longest route whose path is a prefix of ``path``.
+        Return the route with the longest path that is a prefix of ``path``, or None.
         """
-        fitting = [r for r in self.routes if _is_below(path, r.path)]
-        return max(fitting, key=lambda r: len(r.path), default=None)
+        matching = [r for r in self.routes if _is_below(path, r.path)]
+        return max(matching, key=lambda r: len(r.path), default=None)
 
 
 @_checked
 class Partner:
     """
-    Someone who sends requests; none is favoured beyond its weight.
+    A client that sends requests.
+
+    :param weight: Share of the capacity relative to the other partners.
     """
 
     name: Name
@@ -146,10 +153,12 @@
 @_checked
 class Trainer:
     """
-    Someone who draws samples.
+    A client that fetches training samples.
 
-    :param staleness_bound: Weight versions that a sample's oldest run may lie behind.
-    :param preference: What is given up first when both cannot be had.
+    :param staleness_bound: Maximum number of weight versions by which the oldest run
+        of a sample may lag behind the trainer.
+    :param preference: ``idle`` uses any engine within the bound; ``staleness`` waits
+        for one with the trainer's version.
     """
 
     name: Name
@@ -163,12 +172,12 @@
 @_checked
 class Objective:
     """
-    A service level that the burn report watches.
+    A service-level objective of the burn report.
 
-    :param kind: What is counted: ``latency`` (seconds to a whole answer), ``refusals``
-        (1 for a request refused or failed), ``idle`` (seconds that a trainer's fetch
-        waited), ``freshness`` (versions that a sample lay behind).
-    :param threshold: An event is good up to this value.
+    :param kind: Measured value: ``latency`` (seconds until the complete answer),
+        ``refusals`` (1 for a refused or failed request), ``idle`` (seconds that a
+        trainer's fetch waited), ``freshness`` (weight versions that a sample lags).
+    :param threshold: Largest value of a good event.
     :param target: Share of events that should be good.
     :param subject: A partner, ``trainer:NAME`` or ``pool:NAME``; empty for all.
     """
@@ -181,7 +190,7 @@
 
     def covers(self, subject: str) -> bool:
         """
-        Tell whether events of a subject count.
+        Tell whether the objective counts events of a subject.
         """
         return self.subject in ("", subject)
 
@@ -189,11 +198,11 @@
 @_checked
 class Limits:
     """
-    Bounds that hold for the whole deployment.
+    Limits of the whole deployment.
 
-    :param choice: Policy that picks among back ends with room.
-    :param claim_remember_s: How long a caller's key is remembered, in seconds; the
-        log must keep its records longer.
+    :param choice: Policy that selects among back ends with a free slot.
+    :param claim_remember_s: Retention of a caller's key, in seconds; the log must
+        retain its records longer.
     """
 
     max_body_bytes: Annotated[int, Field(ge=1024, le=64_000_000)] = 1_000_000
@@ -212,7 +221,7 @@
 @_checked
 class Deployment:
     """
-    One whole deployment file.
+    The content of a deployment file.
     """
 
     schema_version: Literal[1]
@@ -245,32 +254,32 @@
 
 def token_digest(token: str) -> str:
     """
-    Return what the deployment file keeps in place of a bearer token.
+    Return the digest of a bearer token, which the deployment file stores instead.
     """
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def validate(name: str, document: object) -> Deployment:
     """
-    Check a parsed document as a whole.
+    Validate a parsed document.
 
-    :param name: The document's name, for messages.
-    :param document: Plain maps, lists and scalars.
-    :raises InvalidDocumentError: With every problem found; nothing is applied.
+    :param name: Name of the document, for error messages.
+    :param document: Dicts, lists and scalars.
+    :raises InvalidDocumentError: With every problem found.
     """
     try:
-        return _ADAPTER.validate_json(_ADAPTER_JSON.dump_json(document))
+        return _ADAPTER.validate_json(_PLAIN_ADAPTER.dump_json(document))
     except ValidationError as error:
         raise InvalidDocumentError(name, problems_of(error)) from None
 
 
-# Lists become tuples and YAML's scalars meet JSON's strict rules on this way round.
-_ADAPTER_JSON = TypeAdapter(object)
+# JSON validation accepts lists as tuples, and applies strict rules to YAML scalars.
+_PLAIN_ADAPTER = TypeAdapter(object)
 
 
 def problems_of(error: ValidationError) -> tuple[Problem, ...]:
     """
-    Turn a validation error into problems that name path, finding and allowance.
+    Convert a validation error of pydantic into problems.
     """
     problems: list[Problem] = []
     for item in error.errors(include_url=False):
@@ -291,16 +300,16 @@
 
 def deployment_to_json(deployment: Deployment) -> bytes:
     """
-    Return the canonical form that a configuration record carries.
+    Encode a deployment in its canonical form, for a configuration record.
     """
     return _ADAPTER.dump_json(deployment)
 
 
 def deployment_from_json(data: bytes) -> Deployment:
     """
-    Read the canonical form.
+    Decode a deployment from its canonical form.
 
-    :raises InvalidDocumentError: If this release cannot use the file.
+    :raises InvalidDocumentError: If it is not valid for this release.
     """
     try:
         return _ADAPTER.validate_json(data)
--- a/packages/saddledoor/src/saddledoor/_deployment_checks.py
+++ b/packages/saddledoor/src/saddledoor/_deployment_checks.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Checks of a deployment file that look at more than one field.
+Checks of a deployment file that involve more than one field.
 """
 
 from __future__ import annotations
@@ -16,35 +16,38 @@
     from ._deployment import Deployment
 
 
-__all__ = ["cross_check", "join_problems", "split_problems"]
+__all__ = ["join_problems", "split_problems"]
 
-#: Between the parts of a problem, and between problems, inside one message.
-_PART, _PROBLEM = "~", "|"
+#: Separators between the fields of a problem and between problems in one message.
+_FIELD_SEPARATOR, _PROBLEM_SEPARATOR = "~", "|"
 
 
 def join_problems(deployment: Deployment) -> str:
     """
-    Return every problem found, as one message; empty if there is none.
+    Return all problems of a deployment as one message, empty if there are none.
     """
-    return _PROBLEM.join(cross_check(deployment))
+    return _PROBLEM_SEPARATOR.join(_find_problems(deployment))
 
 
 def split_problems(message: str) -> list[Problem]:
     """
-    Undo `join_problems`.
+    Return the problems in a message of `join_problems`.
     """
-    return [Problem(*text.split(_PART)) for text in message.split(_PROBLEM)]
+    return [
+        Problem(*text.split(_FIELD_SEPARATOR))
+        for text in message.split(_PROBLEM_SEPARATOR)
+    ]
 
 
 def _duplicates(place: str, names: Iterable[str]) -> Iterable[str]:
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
-            yield f"{place}[{index}].name~{name!r} a second time~a name used once"
+            yield f"{place}[{index}].name~duplicate {name!r}~a unique name"
         seen.add(name)
 
 
-def cross_check(deployment: Deployment) -> Iterable[str]:
+def _find_problems(deployment: Deployment) -> Iterable[str]:
     yield from _duplicates("pools", (p.name for p in deployment.pools))
     yield from _duplicates("services", (s.name for s in deployment.services))
     yield from _duplicates("partners", (p.name for p in deployment.partners))
@@ -67,13 +70,13 @@
     ]
     for place, members in groups:
         for index, member in enumerate(members):
-            here = f"{place}[{index}]"
+            path = f"{place}[{index}]"
             if member.name in seen:
-                yield f"{here}.name~{member.name!r} a second time~a name used once"
+                yield f"{path}.name~duplicate {member.name!r}~a unique name"
             seen.add(member.name)
             if member.data_centre not in known:
                 yield (
-                    f"{here}.data_centre~{member.data_centre!r}~one of {sorted(known)}"
+                    f"{path}.data_centre~{member.data_centre!r}~one of {sorted(known)}"
                 )
 
 
@@ -94,5 +97,5 @@
     for kind in ("partners", "trainers"):
         for index, owner in enumerate(getattr(deployment, kind)):
             if owner.token_sha256 in seen:
-                yield f"{kind}[{index}].token_sha256~a token used before~one's own"
+                yield f"{kind}[{index}].token_sha256~a duplicate token~a unique token"
             seen.add(owner.token_sha256)
--- a/packages/saddledoor/src/saddledoor/_job_records.py
+++ b/packages/saddledoor/src/saddledoor/_job_records.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The byte form of job records: msgpack arrays, a letter for the type first.
+Binary encoding of job records: msgpack arrays that start with a one-letter type tag.
 """
 
 from __future__ import annotations
@@ -35,36 +35,40 @@
 
 def encode_job_record(record: JobRecord) -> bytes:
     """
-    Return a record's bytes.
+    Encode a record.
     """
     match record:
         case JobOpened():
             route = [record.host, record.path]
-            wanted = [record.model, record.step, record.oldest_version]
-            fields = [*route, *wanted, record.groups_wanted, record.size]
-            place = _place(record.items)
-            owner = [] if record.workspace is None else [record.workspace]
-            return msgpack.packb(["o", record.job_id, *fields, *place, *owner])
+            requirements = [record.model, record.step, record.oldest_version]
+            fields = [*route, *requirements, record.groups_wanted, record.size]
+            location = _encode_location(record.items)
+            optional_workspace = [] if record.workspace is None else [record.workspace]
+            return msgpack.packb(
+                ["o", record.job_id, *fields, *location, *optional_workspace]
+            )
         case ItemListed(result=result):
             fields = [result.item_id, result.done, list(result.versions), result.score]
-            return msgpack.packb(["r", record.job_id, *fields, *_place(result.text)])
+            return msgpack.packb(
+                ["r", record.job_id, *fields, *_encode_location(result.text)]
+            )
         case ItemFailed():
             fields = [record.item_id, record.failure_id, record.scoring]
             return msgpack.packb(["f", record.job_id, *fields])
         case ItemKept():
             fields = [record.item_id, record.first, record.count, record.follows]
-            made = [record.chain, list(record.versions)]
-            place = _place(record.text)
-            return msgpack.packb(["k", record.job_id, *fields, *made, *place])
+            provenance = [record.chain, list(record.versions)]
+            location = _encode_location(record.text)
+            return msgpack.packb(["k", record.job_id, *fields, *provenance, *location])
         case JobEnded():
             return msgpack.packb(["e", record.job_id])
 
 
 def decode_job_record(data: bytes) -> JobRecord:
     """
-    Read a record; each field is checked, since what is folded cannot be taken back.
+    Decode a record and check the type of each field: a folded record cannot be undone.
 
-    :raises UndecodableRecordError: If it is none of the known types.
+    :raises UndecodableRecordError: If the data is not a valid record of a known type.
     """
     try:
         kind, job_id, *fields = msgpack.unpackb(data)
@@ -73,166 +77,199 @@
         raise UndecodableRecordError(f"job record: {error!r}") from None
 
 
-def _place(text: StoredText) -> list:
+def _encode_location(text: StoredText) -> list:
     return [list(text.offsets), text.size]
 
 
-def _text(value: object) -> str:
+def _require_str(value: object) -> str:
     if not isinstance(value, str):
-        raise TypeError(f"a text is needed, not {type(value).__name__}")
+        raise TypeError(f"expected a string, not {type(value).__name__}")
     return value
 
 
-def _whole(value: object) -> int:
-    # For Python a boolean is a whole number.
+def _require_int(value: object) -> int:
+    # bool is a subclass of int.
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise TypeError(f"a whole number is needed, not {type(value).__name__}")
+        raise TypeError(f"expected a non-negative integer, not {type(value).__name__}")
     return value
 
 
-def _flag(value: object) -> bool:
+def _require_bool(value: object) -> bool:
     if not isinstance(value, bool):
-        raise TypeError(f"true or false is needed, not {type(value).__name__}")
+        raise TypeError(f"expected a boolean, not {type(value).__name__}")
     return value
 
 
-def _bytes(value: object) -> bytes:
+def _require_bytes(value: object) -> bytes:
     if not isinstance(value, bytes):
-        raise TypeError(f"bytes are needed, not {type(value).__name__}")
+        raise TypeError(f"expected bytes, not {type(value).__name__}")
     return value
 
 
-def _array(value: object) -> list:
+def _require_list(value: object) -> list:
     if not isinstance(value, list):
-        raise TypeError(f"a list is needed, not {type(value).__name__}")
+        raise TypeError(f"expected a list, not {type(value).__name__}")
     return value
 
 
-def _wholes(value: object) -> tuple[int, ...]:
-    return tuple(_whole(number) for number in _array(value))
+def _require_ints(value: object) -> tuple[int, ...]:
+    return tuple(_require_int(number) for number in _require_list(value))
 
 
-def _stored(offsets: object, size: object) -> StoredText:
-    return StoredText(_wholes(offsets), _whole(size))
+def _decode_stored_text(offsets: object, size: object) -> StoredText:
+    return StoredText(_require_ints(offsets), _require_int(size))
 
 
-def _opened(job_id, host, path, model, *fields) -> JobOpened:
-    step, oldest_version, groups_wanted, size, offsets, bytes_stored, *owner = fields
+def _decode_opened(job_id, host, path, model, *fields) -> JobOpened:
+    (
+        step,
+        oldest_version,
+        groups_wanted,
+        size,
+        offsets,
+        bytes_stored,
+        *optional_workspace,
+    ) = fields
     return JobOpened(
-        _text(job_id),
-        _text(host),
-        _text(path),
-        _text(model),
-        _whole(step),
-        _whole(oldest_version),
-        _whole(groups_wanted),
-        _whole(size),
-        _stored(offsets, bytes_stored),
-        _owner(*owner),
+        _require_str(job_id),
+        _require_str(host),
+        _require_str(path),
+        _require_str(model),
+        _require_int(step),
+        _require_int(oldest_version),
+        _require_int(groups_wanted),
+        _require_int(size),
+        _decode_stored_text(offsets, bytes_stored),
+        _decode_workspace(*optional_workspace),
     )
 
 
-def _owner(workspace: object = None) -> str | None:
+def _decode_workspace(workspace: object = None) -> str | None:
     """
-    Return a job's workspace, none in the records of writers that knew of none.
+    Return a job's workspace, or None in a record of a release without the field.
     """
-    return None if workspace is None else _text(workspace)
+    return None if workspace is None else _require_str(workspace)
 
 
-def _listed(job_id, item_id, done, versions, score, *place) -> ItemListed:
+def _decode_listed(job_id, item_id, done, versions, score, *location) -> ItemListed:
     result = ItemResult(
-        _text(item_id), _flag(done), _stored(*place), _wholes(versions), _text(score)
+        _require_str(item_id),
+        _require_bool(done),
+        _decode_stored_text(*location),
+        _require_ints(versions),
+        _require_str(score),
     )
-    return ItemListed(_text(job_id), result)
+    return ItemListed(_require_str(job_id), result)
 
 
-def _failed(job_id, item_id, failure_id, scoring) -> ItemFailed:
-    return ItemFailed(_text(job_id), _text(item_id), _text(failure_id), _flag(scoring))
+def _decode_failed(job_id, item_id, failure_id, scoring) -> ItemFailed:
+    return ItemFailed(
+        _require_str(job_id),
+        _require_str(item_id),
+        _require_str(failure_id),
+        _require_bool(scoring),
+    )
 
 
-def _kept(job_id, item_id, first, count, follows, chain, versions, *place) -> ItemKept:
+def _decode_kept(
+    job_id, item_id, first, count, follows, chain, versions, *location
+) -> ItemKept:
     return ItemKept(
-        _text(job_id),
-        _text(item_id),
-        _whole(first),
-        _whole(count),
-        _text(follows),
-        _text(chain),
-        _wholes(versions),
-        _stored(*place),
+        _require_str(job_id),
+        _require_str(item_id),
+        _require_int(first),
+        _require_int(count),
+        _require_str(follows),
+        _require_str(chain),
+        _require_ints(versions),
+        _decode_stored_text(*location),
     )
 
 
-def _ended(job_id) -> JobEnded:
-    return JobEnded(_text(job_id))
+def _decode_ended(job_id) -> JobEnded:
+    return JobEnded(_require_str(job_id))
 
 
 _DECODERS = {
-    "o": _opened,
-    "r": _listed,
-    "f": _failed,
-    "k": _kept,
-    "e": _ended,
+    "o": _decode_opened,
+    "r": _decode_listed,
+    "f": _decode_failed,
+    "k": _decode_kept,
+    "e": _decode_ended,
 }
 
 
 def encode_events(events: tuple[str, ...]) -> bytes:
     """
-    Return the bytes of a kept part of a text.
+    Encode the events of a persisted part of a text.
     """
     return msgpack.packb(list(events))
 
 
 def decode_events(data: bytes) -> tuple[str, ...]:
     """
-    Read a kept part of a text.
+    Decode the events of a persisted part of a text.
 
-    :raises UndecodableRecordError: If it is none.
+    :raises UndecodableRecordError: If the data is not a list of strings.
     """
     try:
-        return tuple(_text(event) for event in _array(msgpack.unpackb(data)))
+        return tuple(
+            _require_str(event) for event in _require_list(msgpack.unpackb(data))
+        )
     except (ValueError, TypeError, msgpack.UnpackException) as error:
         raise UndecodableRecordError(f"kept events: {error!r}") from None
 
 
 def encode_job_items(items: tuple[JobItem, ...]) -> bytes:
     """
-    Return the bytes of a job's items.
+    Encode a job's items.
     """
-    return msgpack.packb([_item_fields(item) for item in items])
+    return msgpack.packb([_encode_item(item) for item in items])
 
 
 def decode_job_items(data: bytes) -> tuple[JobItem, ...]:
     """
-    Read a job's items.
+    Decode a job's items.
 
-    :raises UndecodableRecordError: If they are none.
+    :raises UndecodableRecordError: If the data is not a list of valid items.
     """
     try:
-        return tuple(_item(*fields) for fields in _array(msgpack.unpackb(data)))
+        return tuple(
+            _decode_item(*fields) for fields in _require_list(msgpack.unpackb(data))
+        )
     except (ValueError, TypeError, msgpack.UnpackException) as error:
         raise UndecodableRecordError(f"job items: {error!r}") from None
 
 
-def _item_fields(item: JobItem) -> list:
+def _encode_item(item: JobItem) -> list:
     score = item.score
     call = score and [score.request_id, score.host, score.path, score.body]
     head = [item.item_id, item.path, [list(pair) for pair in item.headers]]
     return [*head, item.body, item.tokens, item.group, call, item.expected_tokens]
 
 
-def _item(item_id, path, headers, body, tokens, group, call, expected) -> JobItem:
+def _decode_item(
+    item_id, path, headers, body, tokens, group, call, expected
+) -> JobItem:
     return JobItem(
-        _text(item_id),
-        _text(path),
-        tuple((_text(name), _text(value)) for name, value in _array(headers)),
-        _bytes(body),
-        _whole(tokens),
-        _text(group),
-        None if call is None else _score_call(*_array(call)),
-        _whole(expected),
+        _require_str(item_id),
+        _require_str(path),
+        tuple(
+            (_require_str(name), _require_str(value))
+            for name, value in _require_list(headers)
+        ),
+        _require_bytes(body),
+        _require_int(tokens),
+        _require_str(group),
+        None if call is None else _decode_score_call(*_require_list(call)),
+        _require_int(expected),
     )
 
 
-def _score_call(request_id, host, path, body) -> ScoreCall:
-    return ScoreCall(_text(request_id), _text(host), _text(path), _bytes(body))
+def _decode_score_call(request_id, host, path, body) -> ScoreCall:
+    return ScoreCall(
+        _require_str(request_id),
+        _require_str(host),
+        _require_str(path),
+        _require_bytes(body),
+    )
--- a/packages/saddledoor/src/saddledoor/_leases.py
+++ b/packages/saddledoor/src/saddledoor/_leases.py
@@ -3,8 +3,9 @@
 """
 Leases in the log: claim, renewal, release and takeover.
 
-The log's order decides who holds a lease; clocks only decide when a taker may try
-and when a holder must stop acting. The fencing number is the claim's offset.
+The order of records in the log decides who holds a lease. Clocks only decide when a
+node may claim a lease and when a holder must stop acting. The fencing number is the
+offset of the claim.
 Source: the lease and fencing token of Gray and Cheriton (1989) and of the usual
 lock-service literature.
 """
@@ -18,17 +19,18 @@
 
 __all__ = ["HeldLease", "Lease", "LeaseFold", "LeaseWatch", "TAKEOVER_FACTOR"]
 
-#: A taker waits this much longer than the term, for clocks that run unevenly.
+#: Wait before a takeover, as a multiple of the term; covers clock rate differences.
 TAKEOVER_FACTOR = 1.1
 
 
 @dataclass(frozen=True)
 class Lease:
     """
-    Who holds a lease, as the log says.
+    State of a lease according to the log.
 
     :param fence: Offset of the holder's claim.
-    :param last: Offset of the newest claim or renewal that counted.
+    :param last: Offset of the newest effective claim or renewal.
+    :param claim_id: Identifier of the holder's claim.
     """
 
     name: str
@@ -50,53 +52,60 @@
 
     def apply(self, offset: int, record: Record) -> LeaseFold:
         """
-        Fold one record; a record that was folded before changes nothing.
+        Fold one record; one that was folded before has no effect.
         """
         if offset < self.next_offset:
             return self
-        moved = replace(self, next_offset=offset + 1)
+        advanced = replace(self, next_offset=offset + 1)
         match record:
             case LeaseClaim():
-                return _with(
-                    moved, _claim(self.leases.get(record.name), offset, record)
+                return _with_lease(
+                    advanced, _apply_claim(self.leases.get(record.name), offset, record)
                 )
             case LeaseRenewal():
-                return _with(
-                    moved, _renew(self.leases.get(record.name), offset, record)
+                return _with_lease(
+                    advanced,
+                    _apply_renewal(self.leases.get(record.name), offset, record),
                 )
             case LeaseRelease():
-                return _with(moved, _release(self.leases.get(record.name), record))
+                return _with_lease(
+                    advanced, _apply_release(self.leases.get(record.name), record)
+                )
             case _:
-                return moved
+                return advanced
 
     def get(self, name: str) -> Lease | None:
         return self.leases.get(name)
 
 
-def _with(state: LeaseFold, lease: Lease | None) -> LeaseFold:
+def _with_lease(state: LeaseFold, lease: Lease | None) -> LeaseFold:
     if lease is None:
         return state
     return replace(state, leases={**state.leases, lease.name: lease})
 
 
-def _claim(lease: Lease | None, offset: int, record: LeaseClaim) -> Lease | None:
-    taken = Lease(record.name, record.holder, offset, offset, claim_id=record.record_id)
+def _apply_claim(lease: Lease | None, offset: int, record: LeaseClaim) -> Lease | None:
+    claimed = Lease(
+        record.name, record.holder, offset, offset, claim_id=record.record_id
+    )
     if lease is None or lease.released:
-        # A repeat of a claim whose answer was lost must not take the lease again.
+        # A repeated append of the same claim must not acquire the lease again.
         if lease is not None and lease.claim_id == record.record_id:
             return None
-        return taken
-    # Void if a renewal stands between what the taker saw and its claim.
-    return taken if record.seen == lease.last else None
+        return claimed
+    # The claim is void if the claimant had not read the newest renewal.
+    return claimed if record.seen == lease.last else None
 
 
-def _renew(lease: Lease | None, offset: int, record: LeaseRenewal) -> Lease | None:
+def _apply_renewal(
+    lease: Lease | None, offset: int, record: LeaseRenewal
+) -> Lease | None:
     if lease is None or lease.released or lease.fence != record.fence:
         return None
     return replace(lease, last=offset)
 
 
-def _release(lease: Lease | None, record: LeaseRelease) -> Lease | None:
+def _apply_release(lease: Lease | None, record: LeaseRelease) -> Lease | None:
     if lease is None or lease.fence != record.fence:
         return None
     return replace(lease, released=True)
@@ -105,25 +114,25 @@
 @dataclass
 class LeaseWatch:
     """
-    When this node may try to take a lease that another one holds.
+    Decides when this node may claim a lease that another node holds.
 
-    :param term: The lease's term, in seconds.
+    :param term: Term of the lease, in seconds.
     """
 
     term: float
-    _seen: int = -1
-    _since: float = 0.0
+    _seen_offset: int = -1
+    _seen_at: float = 0.0
 
     def observe(self, lease: Lease | None, now: float) -> None:
         """
-        Note the newest renewal; the wait begins when this node has *read* it.
+        Record the newest renewal; the wait starts when this node has *read* it.
 
-        :param now: Monotonic time that goes on while the VM is suspended, in seconds.
+        :param now: Monotonic time that includes suspension of the VM, in seconds.
         """
         last = lease.last if lease else -1
-        if last != self._seen:
-            self._seen = last
-            self._since = now
+        if last != self._seen_offset:
+            self._seen_offset = last
+            self._seen_at = now
 
     def may_take(self, lease: Lease | None, now: float) -> bool:
         """
@@ -132,16 +141,16 @@
         self.observe(lease, now)
         if lease is None or lease.released:
             return True
-        return now - self._since >= self.term * TAKEOVER_FACTOR
+        return now - self._seen_at >= self.term * TAKEOVER_FACTOR
 
 
 @dataclass(frozen=True)
 class HeldLease:
     """
-    A lease as its holder sees it.
+    A lease from the view of its holder.
 
-    :param deadline: Time after which the holder must not act, in seconds: the term
-        counted from *before* the append that last counted.
+    :param deadline: Monotonic time after which the holder must not act, in seconds:
+        one term after the *start* of the newest effective append.
     """
 
     name: str
@@ -150,6 +159,6 @@
 
     def may_act(self, now: float, margin: float = 0.0) -> bool:
         """
-        Tell whether an action that takes up to ``margin`` seconds may begin now.
+        Tell whether an action that takes up to ``margin`` seconds may start now.
         """
         return now + margin < self.deadline
--- a/packages/saddledoor/src/saddledoor/_members.py
+++ b/packages/saddledoor/src/saddledoor/_members.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a node knows of the VMs and back ends of the deployment: state passed on by peers.
+Gossip state: what a node knows of the VMs and back ends of the deployment.
 
-Each VM numbers its own entry; a higher (start, number) replaces a lower one, so
-entries may arrive late, twice and by any way round. Inside a data centre entries are
-pulled from random peers (anti-entropy); between data centres only a summary travels.
+Each VM numbers its own entry, and a higher (start, number) replaces a lower one, so
+entries may arrive late, repeatedly and by any route. Inside a data centre entries are
+pulled from random peers (anti-entropy); between data centres only summaries are sent.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 @dataclass(frozen=True)
 class BackendReport:
     """
-    What a watcher read from a back end.
+    State of a back end as read by a VM that polls it.
 
-    :param at: When it was read, by the reader's clock, in seconds; on the wire it
-        travels as an age.
-    :param load: Requests running and waiting there, a count.
-    :param versions: Weight version by model, as the engine itself reports.
+    :param load: Number of requests that run or wait there.
+    :param at: When it was read, in seconds of this node's clock; sent as an age.
+    :param leaving: Whether the back end accepts no new work.
+    :param versions: Weight version by model, as the engine reports it.
     """
 
     name: str
@@ -39,11 +39,14 @@
 @dataclass(frozen=True)
 class MemberEntry:
     """
-    One VM's entry.
+    State that one VM publishes about itself.
 
-    :param started: When its process began, in milliseconds since 1970.
-    :param seq: Number of the entry; grows with each change that others should hear.
+    :param started: When its process started, in milliseconds since 1970.
+    :param seq: Number of the entry; increases with each published change.
     :param state: ``serving``, ``draining`` or ``stopped``.
+    :param config_offset: Offset of its active configuration.
+    :param reports: Back ends that it polls.
+    :param leases: Names of the leases that it holds.
     :param grpc_outside: Peer address for VMs of other data centres.
     """
 
@@ -62,7 +65,7 @@
     @property
     def urgent(self) -> tuple[object, ...]:
         """
-        What others must hear of at once when it changes; loads are not urgent.
+        Fields whose change is announced to peers at once, which excludes loads.
         """
         reports = tuple(
             (r.name, r.alive, r.leaving, tuple(sorted(r.versions.items())))
@@ -73,7 +76,7 @@
     @property
     def rank(self) -> tuple[int, int]:
         """
-        What decides which of two entries of a VM is newer.
+        Sort key of the entries of a VM; the newer entry has the higher rank.
         """
         return (self.started, self.seq)
 
@@ -81,9 +84,9 @@
 @dataclass(frozen=True)
 class PoolSummary:
     """
-    What another data centre has of a pool or service.
+    Capacity of a pool or service in another data centre.
 
-    :param slots: Slots of back ends that are alive and serving, a count.
+    :param slots: Number of slots of back ends that are alive and serving.
     """
 
     name: str
@@ -93,10 +96,11 @@
 @dataclass(frozen=True)
 class SiteSummary:
     """
-    One data centre in a few hundred bytes.
+    Summary of one data centre.
 
-    :param at: When it was heard, in seconds.
-    :param unusable: Back ends there that are dead or leaving.
+    :param at: When it was received, in seconds of this node's clock.
+    :param peers: Addresses of VMs there.
+    :param unusable: Names of back ends there that are dead or leaving.
     """
 
     data_centre: str
@@ -108,16 +112,17 @@
 
     def slots(self, pool: str) -> int:
         """
-        Return the slots that the data centre has for a pool or service.
+        Return the number of slots of a pool or service in the data centre.
         """
         return next((p.slots for p in self.pools if p.name == pool), 0)
 
 
 class MemberTable:
     """
-    Entries of the own data centre and summaries of the others.
+    Entries of this VM's data centre and summaries of the others.
 
-    :param expiry: An entry that did not change for so long is dead, in seconds.
+    :param expiry: Time without a change after which an entry counts as dead, in
+        seconds.
     """
 
     def __init__(self, expiry: float) -> None:
@@ -128,10 +133,12 @@
 
     def offer(self, entry: MemberEntry, now: float) -> bool:
         """
-        Take an entry if it is newer than the one known.
+        Store an entry if it is newer than the stored one.
+
+        :returns: Whether it was stored.
         """
-        known = self._entries.get(entry.vm)
-        if known is not None and known.rank >= entry.rank:
+        current = self._entries.get(entry.vm)
+        if current is not None and current.rank >= entry.rank:
             return False
         self._entries[entry.vm] = entry
         self._heard[entry.vm] = now
@@ -139,28 +146,30 @@
 
     def offer_site(self, summary: SiteSummary) -> None:
         """
-        Take a summary of another data centre.
+        Store a summary of another data centre, unless the stored one is newer.
         """
-        known = self._sites.get(summary.data_centre)
-        if known is None or known.at <= summary.at:
+        current = self._sites.get(summary.data_centre)
+        if current is None or current.at <= summary.at:
             self._sites[summary.data_centre] = summary
 
     def ranks(self) -> dict[str, tuple[int, int]]:
         """
-        Return the digest that a peer compares with its own entries.
+        Return the rank of each entry, which a peer compares with its own entries.
         """
         return {vm: entry.rank for vm, entry in self._entries.items()}
 
     def newer_than(self, ranks: dict[str, tuple[int, int]]) -> list[MemberEntry]:
         """
-        Return the entries that a peer with this digest lacks.
+        Return the entries that are newer than the given ranks of a peer.
         """
-        nothing = (-1, -1)
-        return [e for vm, e in self._entries.items() if e.rank > ranks.get(vm, nothing)]
+        unknown_rank = (-1, -1)
+        return [
+            e for vm, e in self._entries.items() if e.rank > ranks.get(vm, unknown_rank)
+        ]
 
     def live(self, now: float) -> list[MemberEntry]:
         """
-        Return the entries of VMs that were heard of lately and did not stop.
+        Return the entries that have not expired, of VMs that have not stopped.
         """
         return [
             entry
@@ -170,7 +179,9 @@
 
     def forget_dead(self, now: float, after: float) -> None:
         """
-        Drop entries of VMs that are long gone.
+        Drop entries that have not changed for some time.
+
+        :param after: Time without a change, in seconds.
         """
         for vm, heard in list(self._heard.items()):
             if now - heard > after:
@@ -187,14 +198,14 @@
         newest: dict[str, BackendReport] = {}
         for entry in self._entries.values():
             for report in entry.reports:
-                known = newest.get(report.name)
-                if known is None or known.at < report.at:
+                current = newest.get(report.name)
+                if current is None or current.at < report.at:
                     newest[report.name] = report
         return newest
 
     def sites(self, now: float) -> list[SiteSummary]:
         """
-        Return the summaries that are not too old to be used.
+        Return the summaries that are recent enough to use.
         """
         return [s for s in self._sites.values() if now - s.at <= 3 * self._expiry]
 
--- a/packages/saddledoor/src/saddledoor/_records.py
+++ b/packages/saddledoor/src/saddledoor/_records.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Records of the platform's log: their types and their JSON form.
+Types of the records in the platform's log, and their JSON encoding.
 """
 
 from __future__ import annotations
@@ -39,18 +39,18 @@
     "unpack_document",
 ]
 
-#: Largest document in a record after unpacking, in bytes.
-_MAX_UNPACKED = 8_000_000
+#: Largest document after decompression, in bytes.
+_MAX_DOCUMENT_BYTES = 8_000_000
 
 
 @dataclass(frozen=True)
 class ConfigProposal:
     """
-    A whole deployment file that an operator asks to put in force.
+    A complete deployment file that an operator proposes as the configuration.
 
-    :param record_id: Names this publication across appends whose answer was lost.
-    :param base: Offset of the accepted configuration it was edited from; -1 for none.
-    :param document: The packed canonical file.
+    :param record_id: Identifier of the publication, the same in a repeated append.
+    :param base: Offset of the accepted configuration that was edited; -1 for none.
+    :param document: Canonical form of the file, packed by `pack_document`.
     """
 
     record_id: str
@@ -63,7 +63,9 @@
 @dataclass(frozen=True)
 class ConfigVerdict:
     """
-    Whether a proposal is valid; the first verdict in the log decides for all.
+    Result of validating a proposal; the first verdict in the log applies.
+
+    :param proposal: Offset of the proposal.
     """
 
     proposal: int
@@ -75,7 +77,7 @@
 @dataclass(frozen=True)
 class PendingProposal:
     """
-    A proposal without a verdict yet, and its offset.
+    A proposal that has no verdict yet, with its offset.
     """
 
     offset: int
@@ -85,11 +87,12 @@
 @dataclass(frozen=True)
 class ConfigSnapshot:
     """
-    The whole state of the fold again, before the log drops what it came from.
+    State of the configuration fold, for readers of a log that dropped old records.
 
-    :param offset: The offset under which the configuration was accepted.
-    :param folded_to: The writer had folded every record below this offset.
-    :param pending: What had no verdict there.
+    :param offset: Offset of the accepted proposal.
+    :param folded_to: Offset of the first record that the state does not include.
+    :param document: The accepted document, packed by `pack_document`.
+    :param pending: Proposals that had no verdict yet.
     """
 
     offset: int
@@ -102,9 +105,11 @@
 @dataclass(frozen=True)
 class LeaseClaim:
     """
-    A try to take a lease.
+    An attempt to acquire a lease.
 
-    :param seen: Offset of the newest claim or renewal that the taker saw; -1 for none.
+    :param record_id: Identifier of the claim, the same in a repeated append.
+    :param seen: Offset of the newest claim or renewal that the claimant had read; -1
+        for none.
     """
 
     record_id: str
@@ -117,7 +122,7 @@
 @dataclass(frozen=True)
 class LeaseRenewal:
     """
-    The holder with this fencing number goes on.
+    Extends the lease for the holder with this fencing number.
     """
 
     name: str
@@ -128,7 +133,7 @@
 @dataclass(frozen=True)
 class LeaseRelease:
     """
-    The holder with this fencing number gives the lease up.
+    Ends the lease of the holder with this fencing number.
     """
 
     name: str
@@ -139,11 +144,11 @@
 @dataclass(frozen=True)
 class KeyClaim:
     """
-    One key in a batch.
+    Claim of one key in a batch.
 
     :param key: Digest of partner, service and the caller's key.
-    :param claim_id: Names the attempt that would run it.
-    :param owner: Incarnation of the VM that would run it.
+    :param claim_id: Identifier of the claim.
+    :param owner: Incarnation of the VM that would run the request.
     """
 
     key: str
@@ -154,7 +159,7 @@
 @dataclass(frozen=True)
 class ClaimBatch:
     """
-    Keys that are claimed by one group commit; the first claim of a key wins.
+    Claims of one group commit; the first claim of a key in the log wins.
     """
 
     claims: tuple[KeyClaim, ...]
@@ -164,7 +169,7 @@
 @dataclass(frozen=True)
 class ClaimRelease:
     """
-    The winner of a claim vouches that nothing was handed over; the key is free.
+    Frees a key; its owner confirms that no request was handed to a service.
     """
 
     key: str
@@ -175,11 +180,11 @@
 @dataclass(frozen=True)
 class BurnTotals:
     """
-    What one process has counted since it began, for the burn report.
+    Counters of one process since its start, for the burn report.
 
-    :param every: How often it writes such a record, in seconds.
-    :param totals: Good and all events by ``objective|subject``.
-    :param final: Whether the process ends now, with nothing left to count.
+    :param every: Interval between the records of the process, in seconds.
+    :param totals: Good events and all events by ``objective|subject``.
+    :param final: Whether the process exits and counts nothing more.
     """
 
     incarnation: str
@@ -193,10 +198,11 @@
 @dataclass(frozen=True)
 class EngineEnded:
     """
-    An engine's process ended while it ran requests.
+    An engine's process crashed while it ran requests.
 
-    :param started_at: Of the life that ended, in Unix milliseconds; none if unknown.
-    :param requests: That it had begun to run just before, by `request_key`.
+    :param started_at: Start of the crashed process, in Unix milliseconds; None if
+        unknown.
+    :param requests: Requests that it had started shortly before, by `request_key`.
     """
 
     engine: str
@@ -208,7 +214,9 @@
 @dataclass(frozen=True)
 class RequestsCleared:
     """
-    Engines have run these requests, by `request_key`, and gone on.
+    Requests that engines have run without a crash.
+
+    :param requests: The requests by `request_key`.
     """
 
     requests: tuple[str, ...]
@@ -218,12 +226,12 @@
 @dataclass(frozen=True)
 class UsageCounted:
     """
-    Requests that one process saw begin in a window of time.
+    Requests that started at one process in a time window.
 
-    :param source: Names the process.
+    :param source: Identifier of the process.
     :param window: Number of the window.
-    :param counts: By workspace, of the whole window so far; workspaces that are not
-        named have not changed.
+    :param counts: Totals of the window so far by workspace; a missing workspace has
+        not changed.
     :param whole: Whether the process will count nothing more in the window.
     """
 
@@ -237,7 +245,10 @@
 @dataclass(frozen=True)
 class UsageDecided:
     """
-    What is reported of a window; the first such record of a window counts.
+    Reported usage of a time window; the first such record of a window applies.
+
+    :param window: Number of the window.
+    :param counts: Requests by workspace.
     """
 
     window: int
@@ -268,16 +279,16 @@
 
 def encode_record(record: Record) -> str:
     """
-    Return the record as JSON text.
+    Encode a record as JSON.
     """
     return _ADAPTER.dump_json(record).decode()
 
 
 def decode_record(text: str | bytes) -> Record:
     """
-    Read a record.
+    Decode a record.
 
-    :raises UndecodableRecordError: If it is none of the known types.
+    :raises UndecodableRecordError: If the text is not a valid record of a known type.
     """
     try:
         return _ADAPTER.validate_json(text)
@@ -288,22 +299,22 @@
 
 def pack_document(data: bytes) -> str:
     """
-    Compress a document for a record: a fleet reads every one of them.
+    Compress a document for use in a record.
     """
     return base64.b85encode(zlib.compress(data, 9)).decode()
 
 
 def unpack_document(text: str) -> bytes:
     """
-    Undo `pack_document`.
+    Decompress a document that `pack_document` compressed.
 
     :raises UndecodableRecordError: If the text is not a packed document or too large.
     """
     try:
         unpacker = zlib.decompressobj()
-        data = unpacker.decompress(base64.b85decode(text), _MAX_UNPACKED)
+        data = unpacker.decompress(base64.b85decode(text), _MAX_DOCUMENT_BYTES)
     except (ValueError, zlib.error) as error:
         raise UndecodableRecordError(f"document: {error}") from None
     if not unpacker.eof:
-        raise UndecodableRecordError("document: cut short or too large")
+        raise UndecodableRecordError("document: truncated or too large")
     return data
--- a/packages/saddledoor/src/saddledoor/_replay.py
+++ b/packages/saddledoor/src/saddledoor/_replay.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Replay: feeds a recorded trace to the library's decisions and checks its promises.
+Replays a recorded trace against the library and checks the promises that it states.
 
-A check looks at each event in turn and says what it breaks. Where an event is a
-node's decision, the check makes the same decision from the recorded inputs.
+A check receives each event in order and reports a violation. For an event that records
+a decision of a node, the check repeats the decision from the recorded inputs.
 """
 
 from __future__ import annotations
@@ -32,10 +32,11 @@
 @dataclass(frozen=True)
 class Broken:
     """
-    The first event that breaks a promise.
+    The first violation of a promise in a trace.
 
-    :param index: Its place in the trace, from 1; one behind the last for what is
-        missing at the end.
+    :param promise: Name of the check that failed, or ``counts``.
+    :param index: Number of the event in the trace, from 1; one more than the last for
+        a violation found at the end.
     """
 
     promise: str
@@ -46,10 +47,10 @@
 @dataclass(frozen=True)
 class Outcomes:
     """
-    What is stated of a trace.
+    Expected outcomes of a trace.
 
-    :param promises: Names of the checks that must hold.
-    :param counts: How many events of a kind there are.
+    :param promises: Names of the checks that must pass.
+    :param counts: Number of events by kind.
     """
 
     promises: tuple[str, ...]
@@ -58,9 +59,9 @@
 
 def replay(events: Iterable[Traced], outcomes: Outcomes) -> Broken | None:
     """
-    Check a trace against its stated outcomes.
+    Check a trace against its expected outcomes.
 
-    :returns: The first break, or none.
+    :returns: The first violation, or None.
     """
     checks = {name: CHECKS[name]() for name in outcomes.promises}
     counts: Counter[str] = Counter()
@@ -77,12 +78,12 @@
             return Broken(name, index + 1, reason)
     for kind, count in outcomes.counts.items():
         if counts[kind] != count:
-            reason = f"{counts[kind]} events of kind {kind}, stated {count}"
+            reason = f"{counts[kind]} events of kind {kind}, expected {count}"
             return Broken("counts", index + 1, reason)
     return None
 
 
-#: Checks by promise, in the order in which the promises were taken.
+#: Checks by promise.
 CHECKS: dict[str, Callable[[], Check]] = {
     "labels": labels,
     "at_most_once": at_most_once,
--- a/packages/saddledoor/src/saddledoor/_replay_check.py
+++ b/packages/saddledoor/src/saddledoor/_replay_check.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a check of a replay is.
+Base types and helpers of the replay checks.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 @dataclass(frozen=True)
 class Check:
     """
-    One promise.
+    Check of one promise.
 
-    :param on_event: Returns what the event breaks, or none.
-    :param at_end: Returns what is missing at the end, or none.
+    :param on_event: Returns the violation by an event, or None.
+    :param at_end: Returns the violation by the trace as a whole, or None.
     """
 
     on_event: Callable[[Traced], str | None]
--- a/packages/saddledoor/src/saddledoor/_replay_decided.py
+++ b/packages/saddledoor/src/saddledoor/_replay_decided.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Checks of a replay that make the nodes' decisions again from what they read.
+Replay checks that repeat the nodes' decisions from the inputs that they recorded.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 __all__ = ["at_most_once", "configuration", "exactly_once"]
 
-_ABSENT = -1
-_REMEMBER = 1e9
+_MISSING = -1
+_RETENTION = 1e9
 
 
 def at_most_once() -> Check:
     """
-    Verdicts follow from the log, and a key's calls ran at most once.
+    Claims are decided as the log says, and a key's calls ran at most once.
     """
     folds: dict[tuple[str, str], ClaimFold] = {}
-    once_of: dict[str, str] = {}
+    exclusive_keys: dict[str, str] = {}
     runs: Counter[str] = Counter()
 
     def on_event(traced: Traced) -> str | None:
@@ -50,20 +50,20 @@
                     del folds[key]
             case Folded(stream=stream) as event if stream.startswith("claims-"):
                 key = (traced.node, stream)
-                fold = folds.setdefault(key, ClaimFold(_REMEMBER, event.first))
+                fold = folds.setdefault(key, ClaimFold(_RETENTION, event.first))
                 fold.apply(event.offset, event.at, as_record(event.data))
             case ClaimDecided() as event:
                 fold = folds.get((traced.node, event.stream))
                 owner = fold.owner(event.key) if fold else None
                 if owner is None or owner.claim_id != event.owner:
-                    return f"key {event.key} does not belong to claim {event.owner}"
+                    return f"key {event.key} is not owned by claim {event.owner}"
             case HandedOver() as event:
-                once_of[event.request_id] = event.once
+                exclusive_keys[event.request_id] = event.once
             case Ran() as event:
-                once = once_of.get(event.request_id, "")
-                runs[once] += bool(once)
-                if runs[once] > 1:
-                    return f"{once} ran {runs[once]} times"
+                exclusive_key = exclusive_keys.get(event.request_id, "")
+                runs[exclusive_key] += bool(exclusive_key)
+                if runs[exclusive_key] > 1:
+                    return f"{exclusive_key} ran {runs[exclusive_key]} times"
         return None
 
     return Check(on_event)
@@ -71,108 +71,116 @@
 
 def exactly_once() -> Check:
     """
-    Collectors answer as the library would; the trainer holds each slot once.
+    Collectors answer as the library decides; a trainer receives each slot once.
     """
-    books: dict[tuple[str, str, int], StepBook] = {}
-    kept: set[tuple] = set()
-    asked: set[tuple] = set()
+    deliveries: dict[tuple[str, str, int], StepBook] = {}
+    received_slots: set[tuple] = set()
+    requested_slots: set[tuple] = set()
 
     def on_event(traced: Traced) -> str | None:
         event = traced.event
         match event:
             case NodeBegan():
-                for key in [k for k in books if k[0] == traced.node]:
-                    del books[key]
+                for key in [k for k in deliveries if k[0] == traced.node]:
+                    del deliveries[key]
             case StepOpened():
                 key = (traced.node, event.trainer, event.step)
-                books[key] = _open(event, books.get(key) if event.reopened else None)
-                asked.update((event.trainer, event.step, s) for s in event.slots)
+                deliveries[key] = _open_delivery(
+                    event, deliveries.get(key) if event.reopened else None
+                )
+                requested_slots.update(
+                    (event.trainer, event.step, s) for s in event.slots
+                )
             case SampleAdded():
-                book = books.get((traced.node, event.trainer, event.step))
-                if book is not None:
+                delivery = deliveries.get((traced.node, event.trainer, event.step))
+                if delivery is not None:
                     runs = as_runs(event.runs)
-                    book.add(Sample(Slot(*event.slot), "", event.tokens, runs))
+                    delivery.add(Sample(Slot(*event.slot), "", event.tokens, runs))
             case StaleDropped():
-                book = books.get((traced.node, event.trainer, event.step))
-                if book is not None:
-                    book.drop_stale(event.version)
+                delivery = deliveries.get((traced.node, event.trainer, event.step))
+                if delivery is not None:
+                    delivery.drop_stale(event.version)
             case Fetched():
-                book = books.get((traced.node, event.trainer, event.step))
-                return _compare_fetch(event, book)
+                delivery = deliveries.get((traced.node, event.trainer, event.step))
+                return _check_fetch(event, delivery)
             case Kept():
                 slot = (event.trainer, event.step, event.slot)
-                if slot in kept:
-                    return f"slot {event.slot} came a second time"
-                kept.add(slot)
+                if slot in received_slots:
+                    return f"slot {event.slot} was delivered twice"
+                received_slots.add(slot)
         return None
 
     def at_end() -> str | None:
-        missing = asked - kept
-        return f"{len(missing)} slots never came" if missing else None
+        missing = requested_slots - received_slots
+        return f"{len(missing)} slots were not delivered" if missing else None
 
     return Check(on_event, at_end)
 
 
-def _open(event: StepOpened, before: StepBook | None) -> StepBook:
+def _open_delivery(event: StepOpened, before: StepBook | None) -> StepBook:
     specs = [SampleSpec(Slot(*slot), "", 0) for slot in event.slots]
     received = [Slot(*slot) for slot in event.received]
     return StepBook.open(event.fence, event.bound, specs, received, before=before)
 
 
-def _compare_fetch(event: Fetched, book: StepBook | None) -> str | None:
-    if book is None:
-        return "a fetch was answered without a book"
+def _check_fetch(event: Fetched, delivery: StepBook | None) -> str | None:
+    if delivery is None:
+        return "a fetch was answered for a step that is not open"
     request = FetchRequest(event.fence, event.cursor, event.version, event.limit)
-    answer = book.fetch(request)
+    answer = delivery.fetch(request)
     if isinstance(answer, Resync):
-        return None if event.number == _ABSENT else "answered where a resync was due"
+        return (
+            None if event.number == _MISSING else "answered where a resync was required"
+        )
     slots = tuple((s.slot.group, s.slot.index) for s in answer.samples)
     if (answer.number, slots) != (event.number, event.slots):
-        return f"answer {event.number} with {event.slots}, not as the library decides"
+        return f"batch {event.number} with {event.slots} differs from the library's"
     return None
 
 
 def configuration() -> Check:
     """
-    What is in force follows from the log or a peer, and never goes back.
+    The active configuration follows from the log or a peer, and never reverts.
     """
     folds: dict[str, ConfigFold] = {}
-    in_force: dict[str, InForce] = {}
-    shown: dict[str, int] = {}
-    accepted_somewhere: set[int] = set()
+    active_configs: dict[str, InForce] = {}
+    activated: dict[str, int] = {}
+    accepted_offsets: set[int] = set()
 
     def on_event(traced: Traced) -> str | None:
         node, event = traced.node, traced.event
         match event:
             case NodeBegan():
                 folds.pop(node, None)
-                in_force[node] = InForce()
-                shown[node] = _ABSENT
+                active_configs[node] = InForce()
+                activated[node] = _MISSING
             case Folded(stream="config"):
                 fold = folds.get(node) or ConfigFold.starting_at(event.first)
                 record = as_record(event.data)
                 folds[node] = fold.apply(event.offset, record) if record else fold
                 accepted = folds[node].accepted
                 if accepted is not None:
-                    accepted_somewhere.add(accepted.offset)
-                    in_force[node] = in_force[node].offer(accepted)
+                    accepted_offsets.add(accepted.offset)
+                    active_configs[node] = active_configs[node].offer(accepted)
             case HeardConfig():
-                in_force[node] = in_force[node].offer(Accepted(event.offset, ""))
+                active_configs[node] = active_configs[node].offer(
+                    Accepted(event.offset, "")
+                )
             case PutInForce():
-                if event.offset <= shown[node]:
-                    return f"went from {shown[node]} to {event.offset}"
-                if in_force[node].offset != event.offset:
-                    decided = in_force[node].offset
-                    return f"put {event.offset} in force, the library {decided}"
-                shown[node] = event.offset
+                if event.offset <= activated[node]:
+                    return f"reverted from {activated[node]} to {event.offset}"
+                if active_configs[node].offset != event.offset:
+                    expected = active_configs[node].offset
+                    return f"activated {event.offset}, expected {expected}"
+                activated[node] = event.offset
         return None
 
     def at_end() -> str | None:
-        wrong = {o for o in shown.values() if o >= 0} - accepted_somewhere
-        if wrong:
-            return f"in force but accepted nowhere: {sorted(wrong)}"
-        if len(set(shown.values())) > 1:
-            return f"nodes end with different configurations: {shown}"
+        never_accepted = {o for o in activated.values() if o >= 0} - accepted_offsets
+        if never_accepted:
+            return f"activated but never accepted: {sorted(never_accepted)}"
+        if len(set(activated.values())) > 1:
+            return f"nodes ended with different configurations: {activated}"
         return None
 
     return Check(on_event, at_end)
--- a/packages/saddledoor/src/saddledoor/_replay_observed.py
+++ b/packages/saddledoor/src/saddledoor/_replay_observed.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Checks of a replay that look at what was observed: labels, outcomes, stops.
+Replay checks of observed behaviour: labels, outcomes, planned stops.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
     "whole_answer",
 ]
 
-#: Seconds after which a leaving back end must get no new work from anyone.
-LEAVING_LIMIT = 5.0
+#: Time after which no node may send new work to a leaving back end, in seconds.
+LEAVING_GRACE = 5.0
 
 
 def labels() -> Check:
     """
-    Labels follow from the parts, and are what the engine wrote into the tokens.
+    Labels follow from the parts of the stream and match the engine's own tokens.
     """
 
     def on_event(traced: Traced) -> str | None:
         match traced.event:
-            case Streamed(runs=told) as event if told is not None:
+            case Streamed(runs=label) as event if label is not None:
                 runs: tuple[VersionRun, ...] = ()
                 for version, tokens in event.parts:
                     runs = append_part(runs, None if version < 0 else version, tokens)
-                if as_runs(told) != runs:
-                    return f"label of {event.attempt_id} does not follow from its parts"
+                if as_runs(label) != runs:
+                    return f"label of {event.attempt_id} does not match its parts"
             case Kept() as event:
-                told = [v for v, a, b in event.runs for _ in range(a, b + 1)]
-                if told != list(event.made):
-                    return f"slot {event.slot} is labelled {event.runs}, untruly"
+                versions = [v for v, a, b in event.runs for _ in range(a, b + 1)]
+                if versions != list(event.made):
+                    return f"slot {event.slot} has label {event.runs}, which is wrong"
         return None
 
     return Check(on_event)
@@ -60,19 +60,19 @@
 
 def not_run() -> Check:
     """
-    Whatever was told as "not run" was run by no service, before or after.
+    A request that was refused as not run is run by no service, before or after.
     """
     ran: set[str] = set()
-    told: set[str] = set()
+    refused: set[str] = set()
 
     def on_event(traced: Traced) -> str | None:
         match traced.event:
             case Ran(request_id=attempt):
                 ran.add(attempt.rpartition(".")[0])
             case Ended(request_id=request, code=code) if 200 <= code < 300:
-                told.add(request)
-        for request in ran & told:
-            return f"request {request} ran and was told as not run"
+                refused.add(request)
+        for request in ran & refused:
+            return f"request {request} ran and was refused as not run"
         return None
 
     return Check(on_event)
@@ -80,7 +80,7 @@
 
 def staleness() -> Check:
     """
-    Every sample kept is within the bound, by its oldest run.
+    The oldest run of each kept sample is within the staleness bound.
     """
 
     def on_event(traced: Traced) -> str | None:
@@ -97,7 +97,7 @@
 
 def whole_answer() -> Check:
     """
-    What is passed as whole has the length asked for.
+    An answer that is passed on as complete has the requested length.
     """
 
     def on_event(traced: Traced) -> str | None:
@@ -117,22 +117,23 @@
 
 def leaving() -> Check:
     """
-    A node gives no new work to what it knows to leave, and nobody does for long.
+    A node sends no new work to a back end that it knows to be leaving, and no node
+    does so after a short time.
     """
-    known: dict[tuple[str, str], float] = {}
-    first: dict[str, float] = {}
+    known_since: dict[tuple[str, str], float] = {}
+    first_known_at: dict[str, float] = {}
 
     def on_event(traced: Traced) -> str | None:
         match traced.event:
             case SawLeaving(backend=backend):
-                known.setdefault((traced.node, backend), traced.at)
-                first.setdefault(backend, traced.at)
+                known_since.setdefault((traced.node, backend), traced.at)
+                first_known_at.setdefault(backend, traced.at)
             case Granted(backend=backend):
-                if (traced.node, backend) in known:
-                    return f"gave new work to {backend}, which it knew to leave"
-                late = traced.at - first.get(backend, traced.at)
-                if late > LEAVING_LIMIT:
-                    return f"gave new work to {backend} {late:.1f} s after the mark"
+                if (traced.node, backend) in known_since:
+                    return f"sent new work to {backend}, known to be leaving"
+                delay = traced.at - first_known_at.get(backend, traced.at)
+                if delay > LEAVING_GRACE:
+                    return f"sent new work to {backend} {delay:.1f} s after the mark"
         return None
 
     return Check(on_event)
@@ -140,26 +141,26 @@
 
 def planned_stop() -> Check:
     """
-    A node that stops as planned has given every request its last byte.
+    A node that stops as planned has completed every request.
     """
-    open_requests: dict[str, set[int]] = {}
-    told: set[str] = set()
+    in_flight: dict[str, set[int]] = {}
+    draining: set[str] = set()
 
     def on_event(traced: Traced) -> str | None:
         node = traced.node
         match traced.event:
             case NodeBegan():
-                open_requests[node] = set()
+                in_flight[node] = set()
             case RequestIn(number=number):
-                open_requests.setdefault(node, set()).add(number)
+                in_flight.setdefault(node, set()).add(number)
             case RequestOut(number=number):
-                open_requests.setdefault(node, set()).discard(number)
+                in_flight.setdefault(node, set()).discard(number)
             case StageChanged(stage="draining"):
-                told.add(node)
+                draining.add(node)
             case StageChanged(stage="stopped"):
-                left = open_requests.get(node, set())
-                if node in told and left:
-                    return f"stopped with {len(left)} requests in flight"
+                unanswered = in_flight.get(node, set())
+                if node in draining and unanswered:
+                    return f"stopped with {len(unanswered)} requests in flight"
         return None
 
     return Check(on_event)
--- a/packages/saddledoor/src/saddledoor/_swaps.py
+++ b/packages/saddledoor/src/saddledoor/_swaps.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Weight swaps in waves: which orders a data centre's engines get next.
+Decides which orders to swap weights a data centre's engines receive next.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 @dataclass(frozen=True)
 class EngineWeights:
     """
-    An engine's true state for one model, as it reported itself.
+    State of one model's weights at an engine, as the engine reports it.
 
-    :param staged: Version that it holds ready to activate, or -1.
-    :param busy: Whether an order to it is still running.
+    :param active: Version that the engine serves.
+    :param staged: Version that is ready to be activated, or -1.
+    :param busy: Whether the engine still executes an order.
     """
 
     name: str
@@ -33,7 +34,9 @@
 @dataclass(frozen=True)
 class Order:
     """
-    An absolute order: be at this version, whatever came before.
+    An order to an engine that names the desired version, whatever its current one.
+
+    :param action: ``stage`` or ``activate``.
     """
 
     engine: str
@@ -46,24 +49,27 @@
     engines: Sequence[EngineWeights], model: str, target: int, share: float
 ) -> list[Order]:
     """
-    Return the orders to give now.
+    Return the orders to send now.
 
-    Every engine stages at once (the weight store's limit spaces them out), but only
-    a share of the engines may activate at the same time, so capacity stays.
+    All engines stage at once, paced by the weight store's own limit. Only a share of
+    the engines may activate at a time, to preserve serving capacity.
 
-    :param target: The version that should be in force.
-    :param share: Largest share of the live engines that may be activating.
+    :param target: Version that all engines should serve.
+    :param share: Maximum share of live engines that activate at a time, from 0 to 1.
     """
     live = [e for e in engines if e.alive]
     behind = [e for e in live if e.active != target]
-    stage = [
+    stage_orders = [
         Order(e.name, "stage", model, target)
         for e in behind
         if not e.busy and e.staged != target
     ]
-    wave = max(1, math.floor(len(live) * share))
+    max_activating = max(1, math.floor(len(live) * share))
     activating = sum(1 for e in behind if e.busy and e.staged == target)
-    ready = [e for e in behind if not e.busy and e.staged == target]
-    free = max(0, wave - activating)
-    activate = [Order(e.name, "activate", model, target) for e in ready[:free]]
-    return stage + activate
+    staged_engines = [e for e in behind if not e.busy and e.staged == target]
+    free_activations = max(0, max_activating - activating)
+    activate_orders = [
+        Order(e.name, "activate", model, target)
+        for e in staged_engines[:free_activations]
+    ]
+    return stage_orders + activate_orders
--- a/packages/saddledoor/src/saddledoor/_trace.py
+++ b/packages/saddledoor/src/saddledoor/_trace.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-Events of a recorded trace: what nodes took in, what they decided, and what back ends
-and trainers saw.
+Events of a recorded trace: inputs and decisions of nodes, and observations of back
+ends and trainers.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 @dataclass(frozen=True)
 class NodeBegan:
     """
-    A daemon's process began; its memory is empty.
+    A daemon's process started, with empty memory.
     """
 
     kind: Literal["node_began"] = "node_began"
@@ -55,7 +55,9 @@
     """
     A node read a record of the log.
 
-    :param first: Oldest offset that the log had when the node began this stream.
+    :param at: When the record was appended, in seconds of the log's clock; 0 if unused.
+    :param data: The encoded record.
+    :param first: Oldest offset that the log had when the node started to read.
     """
 
     stream: str
@@ -69,7 +71,7 @@
 @dataclass(frozen=True)
 class HeardConfig:
     """
-    A peer passed on an accepted configuration.
+    A node received an accepted configuration from a peer.
     """
 
     offset: int
@@ -79,7 +81,7 @@
 @dataclass(frozen=True)
 class PutInForce:
     """
-    A node put a configuration in force.
+    A node activated a configuration.
     """
 
     offset: int
@@ -89,7 +91,9 @@
 @dataclass(frozen=True)
 class ClaimDecided:
     """
-    A node told who owns a key.
+    A node reported the owner of a key.
+
+    :param owner: Identifier of the claim that owns the key.
     """
 
     stream: str
@@ -103,8 +107,8 @@
     """
     A node hands a call to a back end.
 
-    :param request_id: The request's name and the attempt's number.
-    :param once: What may run only once: partner, service and key; empty if repeatable.
+    :param request_id: Identifier of the request and number of the attempt.
+    :param once: Partner, service and key of an unrepeatable call; empty if repeatable.
     """
 
     request_id: str
@@ -116,9 +120,9 @@
 @dataclass(frozen=True)
 class Ended:
     """
-    A node told a call's final outcome.
+    A node returned the final outcome of a call.
 
-    :param code: The numbered result code.
+    :param code: Numeric result code.
     """
 
     request_id: str
@@ -129,7 +133,7 @@
 @dataclass(frozen=True)
 class Ran:
     """
-    A service ran a call: its own word.
+    A service reports that it ran a call.
     """
 
     backend: str
@@ -140,11 +144,11 @@
 @dataclass(frozen=True)
 class Streamed:
     """
-    A completion was put together from parts.
+    A node assembled a completion from the parts of a stream.
 
-    :param parts: Version (-1 for none) and tokens of each part.
-    :param asked: Length asked for, in tokens.
-    :param runs: The label that the node gave, or none if the answer is not whole.
+    :param asked: Requested length, in tokens.
+    :param parts: Version (-1 for none) and number of tokens of each part.
+    :param runs: The resulting label, or None if the answer is incomplete.
     """
 
     attempt_id: str
@@ -157,9 +161,11 @@
 @dataclass(frozen=True)
 class StepOpened:
     """
-    A collector opened a step's book.
+    A collector started the delivery of a step.
 
-    :param reopened: Whether it goes on from its own earlier book.
+    :param bound: Staleness bound of the trainer, in weight versions.
+    :param received: Slots that the trainer holds.
+    :param reopened: Whether it continues its own earlier delivery of the step.
     """
 
     trainer: str
@@ -175,7 +181,7 @@
 @dataclass(frozen=True)
 class SampleAdded:
     """
-    A finished sample was offered to a step's book.
+    A finished sample was added to the delivery of a step.
     """
 
     trainer: str
@@ -189,7 +195,9 @@
 @dataclass(frozen=True)
 class StaleDropped:
     """
-    A collector dropped the samples that are too old for this version.
+    A collector dropped the samples that are too old for a trainer's version.
+
+    :param version: Current weight version of the trainer.
     """
 
     trainer: str
@@ -203,7 +211,7 @@
     """
     A collector answered a fetch.
 
-    :param number: Number of the answer, or -1 for a resync.
+    :param number: Number of the batch, or -1 for a resync.
     """
 
     trainer: str
@@ -220,11 +228,13 @@
 @dataclass(frozen=True)
 class Kept:
     """
-    A trainer kept a sample: its own word.
+    A trainer reports that it kept a sample.
 
-    :param made: Version that made each token, as the engine wrote into the token.
-    :param runs: The label that came with it.
-    :param version: The version that the trainer named in the fetch.
+    :param asked: Requested length, in tokens.
+    :param made: Version that generated each token, as the engine wrote it into the
+        token.
+    :param runs: Label of the sample.
+    :param version: Version that the trainer sent with the fetch.
     """
 
     trainer: str
@@ -251,7 +261,7 @@
 @dataclass(frozen=True)
 class Granted:
     """
-    A node gave a back end new work.
+    A node granted a slot of a back end to new work.
     """
 
     backend: str
@@ -261,7 +271,9 @@
 @dataclass(frozen=True)
 class StageChanged:
     """
-    A node is on its way out.
+    A node entered another stage of its planned stop.
+
+    :param stage: ``serving``, ``draining`` or ``stopped``.
     """
 
     stage: str
@@ -271,7 +283,7 @@
 @dataclass(frozen=True)
 class RequestIn:
     """
-    A caller's request reached a node.
+    A node received a request of a caller.
     """
 
     number: int
@@ -281,7 +293,7 @@
 @dataclass(frozen=True)
 class RequestOut:
     """
-    A caller's request got its last byte.
+    A node sent the last byte of the answer to a caller's request.
     """
 
     number: int
@@ -314,9 +326,9 @@
 @dataclass(frozen=True)
 class Traced:
     """
-    An event, where it happened and when.
+    An event with the time and node of its occurrence.
 
-    :param at: Seconds of the machine's monotonic clock.
+    :param at: Time of the machine's monotonic clock, in seconds.
     """
 
     at: float
--- a/packages/saddledoor/src/saddledoor/_trace_file.py
+++ b/packages/saddledoor/src/saddledoor/_trace_file.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The file form of a trace: an event a line, as JSON.
+File format of traces: one JSON event per line.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 
 def encode_traced(traced: Traced) -> str:
     """
-    Return a line of a trace file.
+    Encode an event as a line of a trace file, without the line end.
     """
     return _ADAPTER.dump_json(traced).decode()
 
 
 def read_trace(name: str, lines: Iterable[str]) -> list[Traced]:
     """
-    Read a trace.
+    Decode the lines of a trace file.
 
-    :raises InvalidDocumentError: Naming the line that cannot be used.
+    :param name: Name of the file, for error messages.
+    :raises InvalidDocumentError: If a line is not a valid event, or there is none.
     """
     events = []
     for number, line in enumerate(lines, 1):
--- a/packages/saddledoor/src/saddledoor/_weight_waves.py
+++ b/packages/saddledoor/src/saddledoor/_weight_waves.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which engines get a new weight version, where the weights load while an engine serves.
+Decides which engines load a new weight version while they continue to serve.
 """
 
 from __future__ import annotations
@@ -13,25 +13,24 @@
 
 __all__ = ["ModelWeights", "engines_at_once", "followers", "wanted_loads"]
 
-#: Share of the engines that follow a new version at once. The others keep serving the
-#: steps that still allow theirs, and follow with the next version.
-_FOLLOWING = 0.5
-#: Share of a pool's engines that load at once, rounded down. Beyond some number the
-#: platform slows every load; on the users' sheets that is 2 of 5 or 6 engines and 9 of
-#: 22 or 23. Three at once where two are allowed took 1.5 s each, two took 1.04 s.
-_AT_ONCE = 0.4
+#: Share of a model's engines that load a new version. The others keep serving steps
+#: that allow an older version, and load the next one.
+_NEWEST_SHARE = 0.5
+#: Maximum share of a pool's engines that load at a time, rounded down. The platform
+#: slows down all loads beyond a number of concurrent ones.
+_CONCURRENT_LOAD_SHARE = 0.4
 
 
 @dataclass(frozen=True)
 class ModelWeights:
     """
-    The weights of one model in a pool.
+    Weights of one model in a pool.
 
-    :param models: All models of the pool, in an order that every node agrees on.
-    :param named: The version that the trainer named last.
+    :param models: All models of the pool, in the same order on every node.
+    :param named: Version that the trainer named last.
     :param oldest_allowed: Oldest version that the newest job allows.
-    :param versions: Version at each engine of the pool; one that is loading counts as
-        there already.
+    :param versions: Version at each engine of the pool, including one that is being
+        loaded.
     """
 
     model: str
@@ -43,68 +42,69 @@
 
 def engines_at_once(engines: int) -> int:
     """
-    Return how many of a pool's engines may load weights at the same time, a count.
+    Return how many of a pool's engines may load weights at the same time.
     """
-    return max(1, math.floor(engines * _AT_ONCE))
+    return max(1, math.floor(engines * _CONCURRENT_LOAD_SHARE))
 
 
 def followers(weights: ModelWeights) -> list[str]:
     """
     Return the engines that follow a model's versions.
 
-    Half of them have the newest version and half the one before. With three models or
-    more not every engine follows every model, or all would be loading all the time:
-    each follows two, and a version costs each model its share of the loads.
+    Half of them have the newest version and half the previous one. With three or more
+    models each engine follows two models on average, to bound the number of loads.
 
-    Engines that have followed lately go on, so one that comes or goes makes no other
-    engine begin. Among the rest the models begin at different ones.
+    Engines with the newest versions are selected first, so that an engine that joins
+    or leaves starts no load elsewhere. Otherwise each model starts at a different
+    engine.
     """
     engines, models = sorted(weights.versions), weights.models
-    count = max(2, 2 * len(engines) // len(models))
-    if count >= len(engines):
+    following_count = max(2, 2 * len(engines) // len(models))
+    if following_count >= len(engines):
         return engines
-    begin = models.index(weights.model) * len(engines) // len(models)
-    ring = engines[begin:] + engines[:begin]
-    return sorted(ring, key=lambda name: -weights.versions[name])[:count]
+    start_index = models.index(weights.model) * len(engines) // len(models)
+    rotated = engines[start_index:] + engines[:start_index]
+    return sorted(rotated, key=lambda name: -weights.versions[name])[:following_count]
 
 
 def wanted_loads(pool: Sequence[ModelWeights]) -> list[tuple[str, str]]:
     """
-    Return the loads that a pool needs, as engines and models, the most urgent first.
+    Return the loads that a pool needs, as pairs of engine and model, by priority.
 
-    A model whose jobs the fewest engines can serve comes first: a step whose weights
-    no engine has waits whole, one that two engines serve waits for a few places.
+    The model whose newest job the fewest engines can run comes first.
 
-    :param pool: The models, the one whose version was named first in front.
+    :param pool: The models, ordered by when their trainers first announced a version.
     """
-    waiting = {weights.model: _engines_to_update(weights) for weights in pool}
-    serving = {
+    pending = {weights.model: _select_engines_to_update(weights) for weights in pool}
+    serving_counts = {
         w.model: sum(w.versions[name] >= w.oldest_allowed for name in followers(w))
         for w in pool
     }
-    order = [w.model for w in pool]
+    model_order = [w.model for w in pool]
     loads: list[tuple[str, str]] = []
-    while any(waiting.values()):
-        model = min((m for m in order if waiting[m]), key=serving.__getitem__)
-        loads.append((waiting[model].pop(0), model))
-        serving[model] += 1
+    while any(pending.values()):
+        model = min(
+            (m for m in model_order if pending[m]), key=serving_counts.__getitem__
+        )
+        loads.append((pending[model].pop(0), model))
+        serving_counts[model] += 1
     return loads
 
 
-def _engines_to_update(weights: ModelWeights) -> list[str]:
+def _select_engines_to_update(weights: ModelWeights) -> list[str]:
     """
-    Return the followers to bring to the named version, the most urgent first.
+    Return the following engines that should load the latest version, by priority.
 
-    Those too old for the jobs at hand come first, since they can do nothing. Beyond
-    them only as many as bring half of the engines to the newest version.
+    Engines whose version is too old for the newest job come first. Others follow only
+    until half of the engines have the latest version.
     """
     versions = {name: weights.versions[name] for name in followers(weights)}
     behind = sorted(
         (version, name) for name, version in versions.items() if version < weights.named
     )
-    urgent = [name for version, name in behind if version < weights.oldest_allowed]
-    newest = len(versions) - len(behind)
-    half = max(1, math.floor(len(versions) * _FOLLOWING))
-    missing = half - newest - len(urgent)
-    rest = [name for version, name in behind if version >= weights.oldest_allowed]
-    return urgent + rest[: max(0, missing)]
+    too_old = [name for version, name in behind if version < weights.oldest_allowed]
+    newest_count = len(versions) - len(behind)
+    newest_target = max(1, math.floor(len(versions) * _NEWEST_SHARE))
+    missing_count = newest_target - newest_count - len(too_old)
+    updatable = [name for version, name in behind if version >= weights.oldest_allowed]
+    return too_old + updatable[: max(0, missing_count)]
--- a/packages/saddledoor/src/saddledoor/checked_yaml.py
+++ b/packages/saddledoor/src/saddledoor/checked_yaml.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-YAML documents whose problems are told with the line that they stand on.
+Reads and validates YAML documents, and reports the line of each problem.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 __all__ = ["MAX_DOCUMENT_BYTES", "load_checked"]
 
-#: Largest document that is read, in bytes.
+#: Maximum size of a document, in bytes.
 MAX_DOCUMENT_BYTES = 1_000_000
 
 _T = TypeVar("_T")
@@ -26,13 +26,13 @@
 
 def load_checked(name: str, data: bytes, validate: Callable[[str, object], _T]) -> _T:
     """
-    Parse a document and check it as a whole.
+    Parse and validate a document.
 
-    :param name: The file's name, for messages.
-    :param data: The file's content.
-    :param validate: Takes the name and plain data; raises `InvalidDocumentError`
-        with paths such as ``pools[0].name``.
-    :raises InvalidDocumentError: With the line of each problem where it is known.
+    :param name: Name of the file, for error messages.
+    :param data: Content of the file.
+    :param validate: Called with the name and the parsed data; raises
+        `InvalidDocumentError` with paths such as ``pools[0].name``.
+    :raises InvalidDocumentError: With all problems, and their lines where known.
     """
     root = _parse(name, data)
     try:
@@ -49,7 +49,7 @@
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
-        found = f"a byte that is not UTF-8 at position {error.start}"
+        found = f"invalid UTF-8 at byte {error.start}"
         raise _invalid(name, "file", found, "UTF-8 text") from None
     try:
         root = yaml.compose(text, Loader=_Loader)
@@ -63,9 +63,9 @@
     if root is None:
         raise _invalid(name, "file", "nothing", "a YAML mapping")
     try:
-        _refuse_traps(name, root, set())
+        _reject_unsafe_nodes(name, root, set())
     except RecursionError:
-        raise _invalid(name, "file", "too deep a nesting", "plain nesting") from None
+        raise _invalid(name, "file", "excessive nesting", "less nesting") from None
     return root
 
 
@@ -73,14 +73,14 @@
     try:
         return yaml.load(data.decode("utf-8"), Loader=_Loader)
     except (yaml.YAMLError, ValueError) as error:
-        # ValueError: a date that is none.
+        # ValueError: an invalid date.
         raise _invalid(name, "file", str(error).splitlines()[0], "YAML") from None
 
 
-def _refuse_traps(name: str, node: yaml.Node, visited: set[int]) -> None:
+def _reject_unsafe_nodes(name: str, node: yaml.Node, visited: set[int]) -> None:
     """
-    Refuse what YAML's own reader takes in silence: aliases, which can grow a small
-    file without bound, and equal keys, of which the last wins.
+    Reject constructs that the YAML parser accepts: aliases, which can expand a small
+    file without limit, and duplicate keys, of which the last one wins.
     """
     place = f"line {node.start_mark.line + 1}"
     if id(node) in visited:
@@ -88,18 +88,18 @@
     visited.add(id(node))
     if isinstance(node, yaml.SequenceNode):
         for item in node.value:
-            _refuse_traps(name, item, visited)
+            _reject_unsafe_nodes(name, item, visited)
     if not isinstance(node, yaml.MappingNode):
         return
     seen: set[str] = set()
     for key, value in node.value:
         if not isinstance(key, yaml.ScalarNode):
-            raise _invalid(name, place, "a key that is no text", "plain keys")
+            raise _invalid(name, place, "a key that is not a scalar", "scalar keys")
         if key.value in seen:
             place = f"line {key.start_mark.line + 1}"
-            raise _invalid(name, place, f"key {key.value!r} twice", "each key once")
+            raise _invalid(name, place, f"key {key.value!r} twice", "unique keys")
         seen.add(key.value)
-        _refuse_traps(name, value, visited)
+        _reject_unsafe_nodes(name, value, visited)
 
 
 def _locate(root: yaml.Node, problem: Problem) -> Problem:
--- a/packages/saddledoor/src/saddledoor/exceptions.py
+++ b/packages/saddledoor/src/saddledoor/exceptions.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Exceptions of the library: faults of input that cannot be used, never outcomes.
+Exceptions of the library, raised for invalid input.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 @dataclass(frozen=True)
 class Problem:
     """
-    One fault in a document.
+    A problem in a document.
 
     :param place: Line or path of the field, for example ``pools[0].name (line 7)``.
-    :param found: What stands there.
-    :param allowed: What may stand there.
+    :param found: Description of the invalid content.
+    :param allowed: Description of valid content.
     """
 
     place: str
@@ -37,13 +37,16 @@
 
 class SaddledoorError(Exception):
     """
-    Base of the library's exceptions.
+    Base class of the library's exceptions.
     """
 
 
 class InvalidDocumentError(SaddledoorError):
     """
-    A settings or deployment file cannot be used; nothing of it was applied.
+    A document is invalid; no part of it was applied.
+
+    :ivar name: Name of the document.
+    :ivar problems: Every problem found.
     """
 
     def __init__(self, name: str, problems: tuple[Problem, ...]) -> None:
@@ -54,5 +57,5 @@
 
 class UndecodableRecordError(SaddledoorError):
     """
-    A record of the log is not one of the known types; readers count and skip it.
+    A record of the log is not valid; readers skip and count it.
     """
--- a/packages/saddledoor/src/saddledoor/tracing.py
+++ b/packages/saddledoor/src/saddledoor/tracing.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Recorded traces: their events, their file form and their replay.
+Recorded traces: events, file format and replay.
 
-Not part of the package's top level: only tools that record or replay need it.
+The top-level package does not export these names; only tools that record or replay
+traces need them.
 """
 
 from __future__ import annotations
--- a/tests/proofs/configuration.py
+++ b/tests/proofs/configuration.py
@@ -118,7 +118,7 @@
         @invariant()
         def folds_agree(self):
             for fold in self.nodes:
-                if not fold.anchored or fold.next_offset not in self.history:
+                if not fold.synced or fold.next_offset not in self.history:
                     continue
                 offset = fold.accepted.offset if fold.accepted else None
                 expected = self.history[fold.next_offset]
--- a/tests/proofs/delivery.py
+++ b/tests/proofs/delivery.py
@@ -31,8 +31,8 @@
             self.received.add(sample.slot)
             del self.ready[sample.slot]
         left = len(self.specs) - len(self.received)
-        self._number += 1
-        return Batch(request.fence, self._number, samples, left)
+        self._last_number += 1
+        return Batch(request.fence, self._last_number, samples, left)
 
 
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
