--- a/tests/beds.py
+++ b/tests/beds.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What the failure tests share: timings, a trainer in the background, measurements.
+Helpers of the failure tests: timings, a background trainer, measurements.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 class BackgroundTrainer(threading.Thread):
     """
-    Draws a step in the background.
+    Runs a trainer for one step in a background thread.
     """
 
     def __init__(self, plan: TrainerPlan) -> None:
@@ -62,8 +62,8 @@
 
 def assert_step_is_right(result: dict) -> None:
     assert result["samples_delivered"] == result["samples_expected"]
-    for harm in ("duplicated", "mislabelled", "stale", "wrong"):
-        assert result[f"samples_{harm}"] == 0, result
+    for fault in ("duplicated", "mislabelled", "stale", "wrong"):
+        assert result[f"samples_{fault}"] == 0, result
 
 
 def find_collector(bed: Testbed) -> str | None:
@@ -75,7 +75,7 @@
 
 def share_answered(bed: Testbed, count: int = 24) -> float:
     """
-    Return the share of repeatable look-ups that are answered, over all running VMs.
+    Return the share of repeatable requests, spread over all running VMs, that succeed.
     """
     names = [name for name in bed.vms if bed.process(name).running]
     with ThreadPoolExecutor(8) as pool:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Fixtures that several test modules use.
+Fixtures shared by several test modules.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 @pytest.fixture
 def bed():
     """
-    Two data centres with two VMs, an engine and a service instance each.
+    Return a test bed of two data centres with two VMs, an engine and a service
+    instance each.
     """
     with Testbed.open(Shape(timings=QUICK)) as bed:
         yield bed
--- a/tests/proofs/__init__.py
+++ b/tests/proofs/__init__.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-One proof per promise: a state machine that passes with the mechanism on and must fail
-with it off.
+One proof per promise: a state machine that passes with the mechanism enabled and must
+fail with it disabled.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 __all__ = ["GATEWAY_PROOFS", "PROOFS", "Proof"]
 
-#: In the order in which the promises were taken.
+#: Proofs of the project's own deployment.
 PROOFS = (
     labels.PROOF,
     at_most_once.PROOF,
@@ -38,5 +38,5 @@
     planned_stop.PROOF,
 )
 
-#: Of the gateway; their broken twins are the stand-ins of `tests/adapter`, not traces.
+#: Proofs of the gateway; `tests/adapter` replaces the recorded traces for these.
 GATEWAY_PROOFS = (job_positions.PROOF, kept_texts.PROOF)
--- a/tests/proofs/_proof.py
+++ b/tests/proofs/_proof.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-How a proof is run: the same machine with the mechanism on and off.
+Runs the state machine of a proof with the mechanism enabled or disabled.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 __all__ = ["Proof"]
 
-# The same examples on every run, and none kept from an earlier one.
+# Generates the same examples on every run and stores none.
 _SETTINGS = settings(
     max_examples=150,
     stateful_step_count=40,
@@ -31,12 +31,13 @@
 @dataclass(frozen=True)
 class Proof:
     """
-    A promise and the machine that checks it.
+    A promise and the state machine that checks it.
 
-    :param name: The promise's short name, as in traces.
+    :param name: Short name of the promise, as in traces.
     :param promise: The promise in a few words.
-    :param failures: What the machine brings about.
-    :param machine: Returns the machine's class, with the mechanism on or off.
+    :param failures: Failures that the machine generates.
+    :param machine: Returns the class of the machine, with the mechanism enabled or
+        disabled.
     """
 
     name: str
@@ -48,14 +49,14 @@
         """
         Run the machine.
 
-        :param guard: Whether the mechanism is on.
-        :raises AssertionError: If the promise was broken.
+        :param guard: Whether the mechanism is enabled.
+        :raises AssertionError: If the promise is violated.
         """
         run_state_machine_as_test(self.machine(guard), settings=_SETTINGS)
 
-    def breaks_without(self) -> str | None:
+    def find_violation(self) -> str | None:
         """
-        Return how the promise breaks with the mechanism off, or none if it holds.
+        Return the violation found with the mechanism disabled, or None.
         """
         try:
             self.run(guard=False)
--- a/tests/proofs/answers.py
+++ b/tests/proofs/answers.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-A caller gets the whole answer to its own request.
+A caller receives the complete answer to its own request.
 
-Off: whatever came when the stream ended is the answer.
+Without the mechanism, the text received at the end of a stream is the answer.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 _LENGTH = 8
 
 
-class _Trusting(AnswerBuilder):
+class _UncheckedBuilder(AnswerBuilder):
     """
-    Takes every part and calls what it has whole when the stream ends.
+    Accepts every part, and treats the text as complete when the stream ends.
     """
 
     def take(self, attempt_id, part):
@@ -41,14 +41,14 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class WholeAnswers(RuleBasedStateMachine):
         """
-        Parts of abandoned attempts come late; streams end early, or say too much.
+        Parts of abandoned attempts arrive late; streams end early or are too long.
         """
 
         @initialize()
         def begin(self):
-            self.builder = (AnswerBuilder if guard else _Trusting)(_LENGTH)
+            self.builder = (AnswerBuilder if guard else _UncheckedBuilder)(_LENGTH)
             self.attempt = 0
-            # Where each attempt's engine is: it goes on from what it was told.
+            # Next token of each attempt's engine, which continues the prompt it got.
             self.positions = {0: 0}
             self.builder.begin_attempt("0")
 
@@ -59,9 +59,9 @@
             self.builder.begin_attempt(str(self.attempt))
 
         @rule(back=st.integers(0, 2), tokens=st.integers(1, 3), too_many=st.booleans())
-        def part_comes(self, back, tokens, too_many):
+        def part_arrives(self, back, tokens, too_many):
             """
-            From the newest attempt or, late, from an abandoned one.
+            A part arrives from the newest attempt, or late from an abandoned one.
             """
             attempt = max(0, self.attempt - back)
             at = self.positions[attempt]
@@ -77,7 +77,7 @@
         @rule(back=st.integers(0, 2))
         def stream_ends(self, back):
             """
-            The end marker comes: in its place, too early, or of an abandoned attempt.
+            The end marker arrives in time, too early, or from an abandoned attempt.
             """
             self.builder.end(str(max(0, self.attempt - back)))
 
--- a/tests/proofs/at_most_once.py
+++ b/tests/proofs/at_most_once.py
@@ -3,7 +3,7 @@
 """
 An unrepeatable request runs at most once.
 
-Off: a VM that got an answer to its append, or lost it, acts without reading the log.
+Without the mechanism, a VM acts after its append without reading the log.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class AtMostOnce(RuleBasedStateMachine):
         """
-        Three VMs claim two keys; appends come late, twice, or lose their answer.
+        Three VMs claim two keys; appends are delayed, or their answers are lost.
         """
 
         @initialize()
         def begin(self):
             self.log: list[ClaimBatch | ClaimRelease] = []
-            self.on_the_way: list[ClaimBatch | ClaimRelease] = []
+            self.delayed: list[ClaimBatch | ClaimRelease] = []
             self.folds = [ClaimFold(1e9) for _ in range(_VMS)]
             self.claims: list[dict] = []
             self.runs = dict.fromkeys(_KEYS, 0)
@@ -40,32 +40,34 @@
         @rule(
             vm=st.integers(0, _VMS - 1),
             key=st.sampled_from(_KEYS),
-            fate=st.sampled_from(["taken", "taken_answer_lost", "late", "never"]),
+            append_result=st.sampled_from(
+                ["taken", "taken_answer_lost", "late", "never"]
+            ),
         )
-        def request(self, vm, key, fate):
+        def request(self, vm, key, append_result):
             """
-            A caller's request arrives; the VM appends its claim.
+            A request arrives at a VM, which appends a claim.
             """
             claim = KeyClaim(key, f"claim-{len(self.claims)}", f"vm-{vm}")
             batch = ClaimBatch((claim,))
-            if fate.startswith("taken"):
+            if append_result.startswith("taken"):
                 self.log.append(batch)
-            elif fate == "late":
-                self.on_the_way.append(batch)
+            elif append_result == "late":
+                self.delayed.append(batch)
             self.claims.append({"vm": vm, "claim": claim, "state": "waiting"})
             if not guard:
                 self._run(self.claims[-1])
 
         @rule(index=st.integers(0, 5))
         def late_append_arrives(self, index):
-            if self.on_the_way:
-                record = self.on_the_way.pop(index % len(self.on_the_way))
+            if self.delayed:
+                record = self.delayed.pop(index % len(self.delayed))
                 self.log.append(record)
 
         @rule(vm=st.integers(0, _VMS - 1), count=st.integers(1, 3))
         def read(self, vm, count):
             """
-            A VM, however long it was paused, reads on from where it was.
+            A VM continues to read the log, perhaps after a long pause.
             """
             fold = self.folds[vm]
             for offset in range(fold.next_offset, len(self.log))[:count]:
@@ -74,7 +76,7 @@
         @rule(index=st.integers(0, 20), handed_over=st.booleans())
         def act(self, index, handed_over):
             """
-            A VM acts on the verdict of a claim that it owns.
+            A VM acts on a claim that owns its key according to the log.
             """
             waiting = [c for c in self.claims if c["state"] == "waiting"]
             if not waiting:
@@ -92,7 +94,7 @@
         @rule(index=st.integers(0, 20))
         def give_up_undecided(self, index):
             """
-            The log could not be asked: the owner refuses, and frees the key later.
+            The log is unavailable: the VM refuses the request and frees the key later.
             """
             waiting = [c for c in self.claims if c["state"] == "waiting"]
             if waiting:
@@ -101,7 +103,7 @@
         @rule(vm=st.integers(0, _VMS - 1))
         def replace_vm(self, vm):
             """
-            A VM dies with its memory; its successor folds the log from the start.
+            A VM loses its memory; its successor folds the log from the start.
             """
             self.folds[vm] = ClaimFold(1e9)
             for entry in self.claims:
@@ -114,9 +116,9 @@
                 self.issued_runs += 1
 
         @rule()
-        def use_issued_key_elsewhere(self):
+        def use_issued_key_at_successor(self):
             """
-            A VM's successor does not know the keys of the one before.
+            The successor of a VM does not know the keys that the VM issued.
             """
             if IssuedKeys("successor").take(self.issued, "partner"):
                 self.issued_runs += 1
@@ -128,7 +130,7 @@
         def _give_up(self, entry):
             entry["state"] = "given_up"
             claim = entry["claim"]
-            self.on_the_way.append(ClaimRelease(claim.key, claim.claim_id))
+            self.delayed.append(ClaimRelease(claim.key, claim.claim_id))
 
         @invariant()
         def no_key_ran_twice(self):
--- a/tests/proofs/configuration.py
+++ b/tests/proofs/configuration.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-An accepted configuration is in force everywhere and never reverts.
+An accepted configuration becomes active on every node and never reverts.
 
-Off: each node judges a proposal by its own release's validator.
+Without the mechanism, each node accepts a proposal by its own release's validation.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Configuration(RuleBasedStateMachine):
         """
-        Operators race, releases differ, nodes start late, and the log drops records.
+        Operators publish concurrently, releases differ, nodes start late, and the log
+        drops old records.
         """
 
         @initialize()
@@ -34,8 +35,8 @@
             self.history = {0: None}
             self.nodes = [ConfigFold() for _ in range(_NODES)]
             self.in_force = [InForce() for _ in range(_NODES)]
-            self.seen = [-1] * _NODES
-            self.own = [-1] * _NODES
+            self.highest_seen = [-1] * _NODES
+            self.own_accepted = [-1] * _NODES
 
         def _append(self, record):
             offset = len(self.log)
@@ -47,7 +48,7 @@
         @rule(back=st.integers(0, 2), twice=st.booleans())
         def publish(self, back, twice):
             """
-            An operator publishes a file edited from the newest or an older one.
+            An operator publishes an edited copy of the newest or an older file.
             """
             accepted = sorted({v for v in self.history.values() if v is not None})
             bases = [-1, *accepted]
@@ -55,13 +56,13 @@
             proposal = make_proposal(f"p{len(self.log)}", base)
             self._append(proposal)
             if twice:
-                # The answer was lost, and the operator's tool appended it again.
+                # The answer was lost, and the operator's tool repeated the append.
                 self._append(proposal)
 
         @rule(index=st.integers(0, 4), valid=st.booleans())
         def verdict(self, index, valid):
             """
-            Releases differ: the same proposal may get verdicts that contradict.
+            Nodes of different releases may append contradictory verdicts.
             """
             proposals = [
                 o for o, r in enumerate(self.log) if isinstance(r, ConfigProposal)
@@ -73,7 +74,7 @@
         @rule(node=st.integers(0, _NODES - 1), lag=st.integers(0, 2))
         def snapshot(self, node, lag):
             """
-            A lease holder, perhaps one that lags, writes the accepted file again.
+            A lease holder, which may lag behind, appends a snapshot.
             """
             record = self.nodes[node].snapshot()
             if record is not None:
@@ -91,29 +92,29 @@
             for offset in range(fold.next_offset, len(self.log))[:count]:
                 fold = fold.apply(offset, self.log[offset])
                 if not guard:
-                    self._judge_alone(node, offset)
+                    self._accept_alone(node, offset)
             self.nodes[node] = fold
             self._offer(node, fold.accepted)
 
-        def _judge_alone(self, node, offset):
+        def _accept_alone(self, node, offset):
             record = self.log[offset]
             release_takes_it = (offset + node) % 3 != 0
             if isinstance(record, ConfigProposal) and release_takes_it:
-                self.own[node] = offset
+                self.own_accepted[node] = offset
                 self._offer(node, Accepted(offset, record.document))
 
         def _offer(self, node, accepted):
             self.in_force[node] = self.in_force[node].offer(accepted)
 
         @rule(node=st.integers(0, _NODES - 1), peer=st.integers(0, _NODES - 1))
-        def hear_from_peer(self, node, peer):
+        def receive_from_peer(self, node, peer):
             self._offer(node, self.in_force[peer].accepted)
 
         @rule(node=st.integers(0, _NODES - 1))
         def replace_vm(self, node):
             self.nodes[node] = ConfigFold.starting_at(self.first)
             self.in_force[node] = InForce()
-            self.seen[node] = -1
+            self.highest_seen[node] = -1
 
         @invariant()
         def folds_agree(self):
@@ -135,8 +136,8 @@
         @invariant()
         def never_reverts(self):
             for node, state in enumerate(self.in_force):
-                assert state.offset >= self.seen[node], "went back"
-                self.seen[node] = state.offset
+                assert state.offset >= self.highest_seen[node], "went back"
+                self.highest_seen[node] = state.offset
 
     return Configuration
 
--- a/tests/proofs/delivery.py
+++ b/tests/proofs/delivery.py
@@ -3,7 +3,7 @@
 """
 Every sample reaches its trainer exactly once.
 
-Off: a collector answers any cursor and any fencing number.
+Without the mechanism, a collector accepts any cursor and any fencing number.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 class _Careless(StepBook):
     """
-    A collector without the mechanism: it forgets what it sent, and asks nothing.
+    A delivery that counts samples as received once they are sent, and checks no cursor.
     """
 
     def fetch(self, request):
--- a/tests/proofs/job_positions.py
+++ b/tests/proofs/job_positions.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-A result that a reader has seen keeps its position and its content at every node.
+A result that was read keeps its position and content on every node.
 
-Off: a node shows its own result as soon as it has sent it, not when the log holds it.
+Without the mechanism, a node publishes its own result before the log contains it.
 """
 
 from __future__ import annotations
@@ -30,39 +30,39 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Positions(RuleBasedStateMachine):
         """
-        Two nodes that both believe to own a job; one loses power now and then.
+        Two nodes consider themselves the owner of a job and sometimes lose power.
         """
 
         @initialize()
         def accept(self):
             self.job = make_job(_ITEMS)
             self.log = [make_opened(self.job)]
-            self.late = []
+            self.delayed = []
             self.books = [JobBook() for _ in range(_NODES)]
-            self.read = [0] * _NODES
-            self.seen: dict[int, ItemResult] = {}
+            self.read_counts = [0] * _NODES
+            self.seen_results: dict[int, ItemResult] = {}
 
         @rule(
             node=st.integers(0, _NODES - 1),
             item=st.integers(0, _ITEMS - 1),
             done=st.booleans(),
-            fate=st.sampled_from(["done", "lost", "late"]),
+            append_result=st.sampled_from(["done", "lost", "late"]),
         )
-        def finish_item(self, node, item, done, fate):
+        def finish_item(self, node, item, done, append_result):
             text = StoredText((node,), 1) if done else StoredText()
             result = ItemResult(self.job.items[item].item_id, done, text)
             record = ItemListed(self.job.job_id, result)
-            if fate == "done":
+            if append_result == "done":
                 self.log.append(record)
-            elif fate == "late":
-                self.late.append(record)
+            elif append_result == "late":
+                self.delayed.append(record)
             if not guard:
                 self.books[node].apply(record)
 
         @rule()
-        def late_append_is_done(self):
-            if self.late:
-                self.log.append(self.late.pop(0))
+        def delayed_append_arrives(self):
+            if self.delayed:
+                self.log.append(self.delayed.pop(0))
 
         @rule()
         def end(self):
@@ -70,14 +70,16 @@
 
         @rule(node=st.integers(0, _NODES - 1), count=st.integers(1, 5))
         def read_on(self, node, count):
-            for record in self.log[self.read[node] : self.read[node] + count]:
+            for record in self.log[
+                self.read_counts[node] : self.read_counts[node] + count
+            ]:
                 self.books[node].apply(record)
-                self.read[node] += 1
+                self.read_counts[node] += 1
 
         @rule(node=st.integers(0, _NODES - 1))
         def lose_power(self, node):
             self.books[node] = JobBook()
-            self.read[node] = 0
+            self.read_counts[node] = 0
 
         @invariant()
         def positions_hold(self):
@@ -88,7 +90,7 @@
                 names = [result.item_id for result in state.results]
                 assert len(names) == len(set(names)), "an item at two positions"
                 for position, result in enumerate(state.results):
-                    before = self.seen.setdefault(position, result)
+                    before = self.seen_results.setdefault(position, result)
                     assert before == result, f"position {position} has changed"
 
     return Positions
--- a/tests/proofs/kept_texts.py
+++ b/tests/proofs/kept_texts.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-A text that goes on at another node has no gap and no repeat, and each run in it was
-asked to go on exactly there.
+A text that another node continues has no gap and no duplicate, and each run in it was
+asked to continue exactly there.
 
-Off: kept events are added wherever their numbers fit, whatever run they continue.
+Without the mechanism, checkpointed events are appended wherever their numbers fit,
+whichever run they continue.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Texts(RuleBasedStateMachine):
         """
-        Two nodes run one item, each from what the log kept when it began.
+        Two nodes run one item, each from the checkpoint in the log at its start.
         """
 
         @initialize()
@@ -71,7 +72,7 @@
         @rule(node=st.integers(0, _NODES - 1))
         def begin_run(self, node):
             """
-            Another engine is asked to go on after the last event.
+            Another engine is asked to continue after the last event.
             """
             self.runs += 1
             self.run_ids[node] = f"run-{self.runs}"
@@ -115,7 +116,7 @@
         @rule(node=st.integers(0, _NODES - 1))
         def make_and_keep(self, node):
             """
-            As a node does every half second.
+            A node generates an event and appends a checkpoint with it.
             """
             self.make_event(node=node, skip=0, version=1)
             self.keep(node=node)
@@ -123,7 +124,7 @@
         @rule(node=st.integers(0, _NODES - 1))
         def keep_whole(self, node):
             """
-            The node has seen that the log holds another run's events.
+            The node writes its whole text, since the log has events of another run.
             """
             text = self.texts[node]
             if text.last == 0:
--- a/tests/proofs/labels.py
+++ b/tests/proofs/labels.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-Every sample names the weight versions that truly produced it.
+The label of every sample names the weight versions that generated it.
 
-Off: the label is the version that was last ordered, in place of what each part says.
+Without the mechanism, the label is the version ordered last, not that of each part.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Labels(RuleBasedStateMachine):
         """
-        Two engines swap weights, or pretend to, while one sample is made.
+        Two engines swap weights, or only report so, while a sample is generated.
         """
 
         @initialize()
         def begin(self):
             self.active = [1, 1]
             self.ordered = 1
-            self.truth: list[int] = []
+            self.true_versions: list[int] = []
             self.engine = 0
             self.attempt = 0
             self.builder = AnswerBuilder(_LENGTH)
@@ -44,7 +44,7 @@
         @rule(engine=st.integers(0, 1), obeys=st.booleans())
         def order_swap(self, engine, obeys):
             """
-            An order is reported done; whether it was carried out is another matter.
+            An engine reports that an order is done, but may not have executed it.
             """
             self.ordered += 1
             if obeys:
@@ -57,14 +57,14 @@
         @rule(version=st.integers(1, 9), engine=st.integers(0, 1))
         def obey_late_order(self, version, engine):
             """
-            An engine that ignores fencing numbers takes an old holder's order.
+            An engine without fencing executes an order of an earlier lease holder.
             """
             self.active[engine] = version
 
         @rule()
         def next_sample(self):
             if self.builder.whole() is not None:
-                self.truth = []
+                self.true_versions = []
                 self.builder = AnswerBuilder(_LENGTH)
                 self.resume_elsewhere(self.engine)
 
@@ -76,23 +76,23 @@
 
         @rule(tokens=st.integers(1, 6), named=_MOSTLY, ended=_MOSTLY)
         def make_part(self, tokens, named, ended):
-            left = _LENGTH - len(self.truth)
+            left = _LENGTH - len(self.true_versions)
             tokens = min(tokens, left)
             if tokens == 0:
                 return
             version = self.active[self.engine]
-            told = version if guard else self.ordered
+            label = version if guard else self.ordered
             last = tokens == left
             finish = "length" if last else None
-            part = Part("x" * tokens, tokens, told if named else None, finish)
+            part = Part("x" * tokens, tokens, label if named else None, finish)
             attempt = str(self.attempt)
             if not self.builder.take(attempt, part):
                 return
             if last and not ended:
-                # The connection broke between the last part and the end marker.
+                # The connection was lost between the last part and the end marker.
                 self.resume_elsewhere(1 - self.engine)
                 return
-            self.truth += [version] * tokens
+            self.true_versions += [version] * tokens
             self.builder.end(attempt)
 
         @invariant()
@@ -100,8 +100,10 @@
             answer = self.builder.whole()
             if answer is None or not answer.labelled:
                 return
-            told = [r.version for r in answer.runs for _ in range(r.first, r.last + 1)]
-            assert told == self.truth, f"label {told}, truth {self.truth}"
+            label = [r.version for r in answer.runs for _ in range(r.first, r.last + 1)]
+            assert label == self.true_versions, (
+                f"label {label}, truth {self.true_versions}"
+            )
 
     return Labels
 
--- a/tests/proofs/leaving.py
+++ b/tests/proofs/leaving.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-An engine that is leaving receives no new work after a few seconds.
+A leaving engine receives no new work after a few seconds.
 
-Off: a node believes the report that reached it last, not the newest one.
+Without the mechanism, a node uses the report received last, not the newest one.
 """
 
 from __future__ import annotations
@@ -47,9 +47,9 @@
     )
 
 
-class _LastHeard(MemberTable):
+class _LastReceivedTable(MemberTable):
     """
-    Keeps whatever came last.
+    Keeps the entry received last.
     """
 
     def offer(self, entry, now):
@@ -64,7 +64,7 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Leaving(RuleBasedStateMachine):
         """
-        Watchers read an engine, and their reports travel late, twice, out of order.
+        VMs poll an engine; their reports arrive late, repeatedly and out of order.
         """
 
         @initialize()
@@ -72,9 +72,9 @@
             self.now = 0.0
             self.leaving_since = None
             self.sent: list[MemberEntry] = []
-            kind = MemberTable if guard else _LastHeard
+            kind = MemberTable if guard else _LastReceivedTable
             self.tables = [kind(1e9) for _ in range(_NODES)]
-            self.heard_leaving = [False] * _NODES
+            self.knows_leaving = [False] * _NODES
             self.in_force = [InForce() for _ in range(_NODES)]
             self.marked_offset = None
             self.seq = 0
@@ -87,7 +87,7 @@
         @rule(watcher=st.integers(0, _NODES - 1))
         def watcher_reads(self, watcher):
             """
-            The watcher changes when VMs come and go, so several may have read it.
+            Any VM may poll the engine, as the assignment changes with the set of VMs.
             """
             self.now += 1.0
             self.seq += 1
@@ -95,27 +95,27 @@
             report = BackendReport("engine", True, 0.0, self.now, leaving)
             entry = _entry(watcher, self.seq, report)
             self.sent.append(entry)
-            self._hear(watcher, entry)
+            self._receive(watcher, entry)
 
         @rule(node=st.integers(0, _NODES - 1), index=st.integers(0, 30))
         def entry_arrives(self, node, index):
             """
-            Any entry that was ever sent may arrive, again and in any order.
+            Entries arrive in any order, and repeatedly.
             """
             if self.sent:
-                self._hear(node, self.sent[index % len(self.sent)])
+                self._receive(node, self.sent[index % len(self.sent)])
 
-        def _hear(self, node, entry):
+        def _receive(self, node, entry):
             self.tables[node].offer(entry, self.now)
             if entry.reports[0].leaving:
-                self.heard_leaving[node] = True
+                self.knows_leaving[node] = True
 
-        # Late, so that the reports have to hold by themselves for most of the run.
+        # Only late in a run, so that most of it depends on the reports alone.
         @precondition(lambda self: self.seq > 8)
         @rule(node=st.integers(0, 1))
         def configuration_marks_it(self, node):
             """
-            Offset 1 serves, offset 2 marks it as leaving; peers may pass on either.
+            Offset 2 marks the engine as leaving; peers may also send offset 1.
             """
             self.marked_offset = 2
             self.in_force[node] = self.in_force[node].offer(Accepted(2, "leaving"))
@@ -134,7 +134,7 @@
         def no_new_work_once_heard(self):
             for node in range(_NODES):
                 marked = self.in_force[node].offset == 2
-                if self.heard_leaving[node] or marked:
+                if self.knows_leaving[node] or marked:
                     assert not self._grants(node), f"node {node} gave it new work"
 
     return Leaving
--- a/tests/proofs/not_run.py
+++ b/tests/proofs/not_run.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-When a request is refused as "not run", it truly did not run.
+A request that was refused as "not run" did not run.
 
-Off: the outcome of the last attempt is told, whatever happened to those before it.
+Without the mechanism, the outcome of the last attempt is returned, whatever the
+outcomes of earlier ones.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class TrueRefusals(RuleBasedStateMachine):
         """
-        One request goes from back end to back end; some run it before they fail.
+        A request is tried at several back ends; some run it before they fail.
         """
 
         @initialize(unrepeatable=st.booleans(), balance=st.integers(0, 3))
@@ -59,7 +60,7 @@
         @rule(name=st.sampled_from("abc"), ran=st.booleans())
         def closed_after_reading(self, name, ran):
             """
-            Whether it ran it nobody here can tell.
+            The connection was closed, so the outcome of the attempt is unknown.
             """
             if self.outcome is None:
                 self.attempts.begin()
--- a/tests/proofs/planned_stop.py
+++ b/tests/proofs/planned_stop.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-A planned stop cuts off no request that is in flight.
+A planned stop aborts no request in flight.
 
-Off: the process ends as soon as nothing is in flight, whoever still sends to it.
+Without the mechanism, the process exits as soon as no request is in flight, while
+clients may still send requests.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 _LAME_DUCK = 5.0
 _LIMIT = 60.0
-#: The balancer goes on sending for so long after the VM said it is not ready.
+#: Time for which the balancer sends requests to a VM that is not ready, in seconds.
 _BALANCER_LAG = 4.0
 
 
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class PlannedStop(RuleBasedStateMachine):
         """
-        Requests come and end; the VM is told to stop, and ends when it may.
+        Requests start and end; a VM that is told to stop exits once its drain ends.
         """
 
         @initialize()
@@ -45,7 +46,7 @@
         @rule()
         def balancer_sends(self):
             """
-            The balancer sends to the VM until it has heard that it is not ready.
+            The balancer sends requests until it learns that the VM is not ready.
             """
             told = self.drain.told_at
             if told is not None and self.now - told > _BALANCER_LAG:
@@ -69,7 +70,7 @@
         @rule()
         def told_again(self):
             """
-            The second signal ends the VM at once, and promises nothing.
+            A second signal stops the VM at once and may abort requests.
             """
             if self.drain.told_at is not None and not self.ended:
                 self.promised = False
--- a/tests/proofs/staleness.py
+++ b/tests/proofs/staleness.py
@@ -3,7 +3,8 @@
 """
 No sample used for training is older than the configured staleness bound.
 
-Off: a sample is judged when it is finished, by its newest run.
+Without the mechanism, staleness is checked when a sample is finished, by its newest
+run.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 _SLOTS = 4
 
 
-class _JudgedWhenFinished(StepBook):
+class _NoStalenessCheck(StepBook):
     def drop_stale(self, version):
         return 0
 
@@ -28,14 +29,14 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Staleness(RuleBasedStateMachine):
         """
-        Weights move on while samples of mixed versions wait to be fetched.
+        The version advances while samples of several versions wait to be fetched.
         """
 
         @initialize(bound=st.integers(0, 2))
         def begin(self, bound):
             self.bound = bound
             self.version = 3
-            kind = StepBook if guard else _JudgedWhenFinished
+            kind = StepBook if guard else _NoStalenessCheck
             specs = [make_spec(group) for group in range(_SLOTS)]
             self.book = kind.open(1, bound, specs)
             self.cursor = 0
@@ -58,7 +59,7 @@
         @rule(kept=st.booleans(), limit=st.integers(1, 4))
         def fetch(self, kept, limit):
             """
-            An answer that was lost is judged anew when it is asked for again.
+            Samples of a lost batch are checked again with the next fetch.
             """
             request = FetchRequest(1, self.cursor, self.version, limit)
             answer = self.book.fetch(request)
--- a/tests/prove.py
+++ b/tests/prove.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-``make prove``: one row per promise, with the failure that was brought about, the red
-that was seen with the mechanism off or on a broken twin, and the green.
+``make prove``: prints one row per promise with the injected failures, the violation
+found with the mechanism disabled and on an altered trace, and the tests that passed.
 """
 
 from __future__ import annotations
@@ -24,30 +24,36 @@
     "test_failures_requests.py",
     "test_failures_operations.py",
 )
-_RED = "test_the_proof_fails_without_the_mechanism"
-_TWIN = "test_a_broken_twin_is_found_out"
+_VIOLATION_TEST = "test_the_proof_fails_without_the_mechanism"
+_ALTERED_TRACE_TEST = "test_an_altered_trace_breaks_its_promise"
 
 
 @dataclass
-class _Row:
+class _PromiseResult:
     """
-    What was seen for a promise.
+    Results of the tests of one promise.
+
+    :param violation: Violation found with the mechanism disabled, or None.
+    :param altered_trace_fails: Whether the replay of an altered trace fails.
+    :param passed: Number of other tests that passed.
+    :param failed: Tests that failed.
+    :param answered_shares: Shares of repeatable requests answered during failures.
     """
 
-    red: str | None = None
-    twin: bool = False
+    violation: str | None = None
+    altered_trace_fails: bool = False
     passed: int = 0
     failed: list[str] = field(default_factory=list)
-    answered: list[float] = field(default_factory=list)
+    answered_shares: list[float] = field(default_factory=list)
 
 
-class _Collector:
+class _ResultCollector:
     """
-    Gathers what the tests recorded of their promises.
+    Pytest plugin that collects the results of tests by promise.
     """
 
     def __init__(self) -> None:
-        self.rows = {proof.name: _Row() for proof in PROOFS}
+        self.rows = {proof.name: _PromiseResult() for proof in PROOFS}
         self.other_failures: list[str] = []
 
     def pytest_runtest_logreport(self, report) -> None:
@@ -58,45 +64,52 @@
             failures.append(report.nodeid)
         if row is None or report.when != "call" or not report.passed:
             return
-        if _RED in report.nodeid:
-            row.red = properties["red"]
-        elif _TWIN in report.nodeid:
-            row.twin = True
+        if _VIOLATION_TEST in report.nodeid:
+            row.violation = properties["red"]
+        elif _ALTERED_TRACE_TEST in report.nodeid:
+            row.altered_trace_fails = True
         else:
             row.passed += 1
         if "repeatable_answered" in properties:
-            row.answered.append(properties["repeatable_answered"])
+            row.answered_shares.append(properties["repeatable_answered"])
 
 
 def main() -> int:
     """
-    Run the proofs and print the table.
+    Run the tests and print the table.
 
-    :returns: 0 if every red was red and every green was green.
+    :returns: 0 if each violation was found and all other tests passed, else 1.
     """
-    collector = _Collector()
+    results = _ResultCollector()
     files = [str(_HERE / name) for name in _FILES]
-    status = pytest.main([*files, *sys.argv[1:]], plugins=[collector])
+    status = pytest.main([*files, *sys.argv[1:]], plugins=[results])
     print(f"\n{'promise':<14} {'red: off':<46} {'twin':<5} {'green':<10} answered")
-    good = status == 0 and not collector.other_failures
+    succeeded = status == 0 and not results.other_failures
     for proof in PROOFS:
-        row = collector.rows[proof.name]
-        good = good and row.red is not None and row.twin and not row.failed
-        print(_line(proof.name, row))
+        row = results.rows[proof.name]
+        succeeded = (
+            succeeded
+            and row.violation is not None
+            and row.altered_trace_fails
+            and not row.failed
+        )
+        print(_format_row(proof.name, row))
         print(f"{'':<14} {proof.failures}")
     print(
         "\nanswered: least share of repeatable requests answered during failures in "
         "which\nsomething is refused or cut off; - where nothing is"
     )
-    return 0 if good else 1
+    return 0 if succeeded else 1
 
 
-def _line(name: str, row: _Row) -> str:
-    red = row.red or "NOT RED"
+def _format_row(name: str, row: _PromiseResult) -> str:
+    violation = row.violation or "NOT RED"
     green = "FAILED" if row.failed else f"{row.passed} tests"
-    share = f"{min(row.answered):.0%}" if row.answered else "-"
-    twin = "red" if row.twin else "NO"
-    return f"{name:<14} {red[:45]:<46} {twin:<5} {green:<10} {share}"
+    share = f"{min(row.answered_shares):.0%}" if row.answered_shares else "-"
+    altered_trace_fails = "red" if row.altered_trace_fails else "NO"
+    return (
+        f"{name:<14} {violation[:45]:<46} {altered_trace_fails:<5} {green:<10} {share}"
+    )
 
 
 if __name__ == "__main__":
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Bad input to a running daemon: a clear error, and the daemon goes on.
+Invalid input to a running daemon causes an error response, and no failure.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 @pytest.fixture(scope="module")
 def bed():
     """
-    One data centre with one VM is enough to be spoken to badly.
+    Return a test bed of one data centre with one VM.
     """
     shape = Shape(
         vms={"dc-a": 1},
@@ -36,9 +36,10 @@
         yield bed
 
 
-def _raw(bed: Testbed, port: int, data: bytes, wait: float = 5.0) -> bytes:
+def _exchange_bytes(bed: Testbed, port: int, data: bytes, wait: float = 5.0) -> bytes:
     """
-    Send bytes and return what comes back until the other side closes.
+    Send bytes and return the answer up to the end of its headers, or to the end of the
+    connection.
     """
     received = b""
     with socket.create_connection((bed.vms["dc-a-vm1"].ip, port), wait) as connection:
@@ -73,7 +74,7 @@
 )
 def test_a_bad_completion_is_refused_with_its_code(bed, body, code):
     """
-    Each fault has its numbered code, and names the place where there is one.
+    Each kind of invalid completion request has its own result code.
     """
     answer = bed.ask("dc-a-vm1", "/v1/completions", body)
     assert answer.code == code
@@ -82,29 +83,29 @@
 
 def test_an_unknown_token_is_refused(bed):
     """
-    Nobody is served without a known token.
+    A request without a known token is refused.
     """
     assert bed.ask("dc-a-vm1", "/v1/completions", {}, token="who").code == 401
 
 
 def test_a_partner_cannot_fetch_a_trainers_samples(bed):
     """
-    A trainer's samples are for its own token.
+    Samples of a trainer can only be fetched with its own token.
     """
     path = "/v1/trainers/trainer-a/steps/1/fetch"
     assert bed.ask("dc-a-vm1", path, {}).code == 403
 
 
-def test_an_unknown_service_and_route_are_told(bed):
+def test_an_unknown_service_is_refused(bed):
     """
-    What is not in the configuration is not guessed at.
+    A service that is not in the configuration is refused as unknown.
     """
     assert bed.ask("dc-a-vm1", "/v1/services/moon/x", {}).code == 404
 
 
 def test_a_step_with_a_slot_twice_is_refused(bed):
     """
-    Nothing of a step that cannot be used is taken.
+    No part of an invalid step is accepted.
     """
     sample = {"group": 0, "index": 0, "prompt": "p", "max_tokens": 4}
     body = {"version": 1, "samples": [sample, sample]}
@@ -114,37 +115,37 @@
     assert bed.status("dc-a-vm1")["steps"] == []
 
 
-def test_a_body_without_its_end_is_given_up(bed):
+def test_an_incomplete_body_times_out(bed):
     """
-    A caller that stops in mid-body is told so, and holds nothing for long.
+    A request whose body is not sent completely is refused after a timeout.
     """
     head = (
         b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         b"Authorization: Bearer partner-a\r\nContent-Length: 100\r\n\r\nabc"
     )
-    assert b" 408 " in _raw(bed, 7001, head)
+    assert b" 408 " in _exchange_bytes(bed, 7001, head)
 
 
 def test_a_header_that_is_too_long_is_refused(bed):
     """
-    Headers are bounded.
+    The size of request headers is limited.
     """
     head = b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: " + b"a" * 200_000
-    assert b" 400 " in _raw(bed, 7001, head + b"\r\n\r\n")
+    assert b" 400 " in _exchange_bytes(bed, 7001, head + b"\r\n\r\n")
 
 
 @pytest.mark.parametrize("port", [7001, 7002])
-def test_nonsense_on_a_port_stops_nobody(bed, port):
+def test_invalid_bytes_on_a_port_affect_no_other_connection(bed, port):
     """
-    Bytes of no protocol end that connection only.
+    Invalid protocol data closes only its own connection.
     """
-    _raw(bed, port, bytes(range(256)) * 40, wait=1.0)
+    _exchange_bytes(bed, port, bytes(range(256)) * 40, wait=1.0)
     assert bed.look_up("dc-a-vm1").code == 100
 
 
 def test_a_peer_without_the_secret_is_refused(bed):
     """
-    Whoever cannot prove that it belongs here gets nothing.
+    A peer call without the shared secret is rejected as unauthenticated.
     """
     address = bed.vms["dc-a-vm1"].grpc
     with (
@@ -155,9 +156,9 @@
     assert caught.value.code() is grpc.StatusCode.UNAUTHENTICATED
 
 
-def test_a_peer_that_sends_nonsense_values_changes_nothing(bed):
+def test_invalid_values_from_a_peer_change_nothing(bed):
     """
-    Values out of range from a peer that does know the secret are survived.
+    Invalid values in authenticated peer calls cause no failure.
     """
     metadata = (("saddledoor-peer", "a secret for stand-ins only"),)
     with grpc.insecure_channel(bed.vms["dc-a-vm1"].grpc) as channel:
@@ -178,9 +179,9 @@
     assert bed.process("dc-a-vm1").running
 
 
-def test_the_answer_to_a_refusal_comes_at_once(bed):
+def test_a_refusal_is_sent_without_delay(bed):
     """
-    A request that is given up on is told so without delay, with when to come back.
+    A request that cannot be run is refused without delay, with a retry time.
     """
     bed.fake("desk-1", not_started=10)
     began = time.monotonic()
@@ -221,21 +222,21 @@
 )
 def test_bad_settings_name_file_line_and_field(tmp_path, change, place):
     """
-    A settings file that cannot be used ends the daemon with status 2.
+    The daemon exits with status 2 and names the file and the invalid field.
     """
     path = tmp_path / "settings.yaml"
     path.write_text(yaml.safe_dump(_SETTINGS | change))
-    done = _run_daemon(path)
-    assert done.returncode == 2
-    assert str(path) in done.stderr
-    assert place in done.stderr
-    assert "Traceback" not in done.stderr
+    result = _run_daemon(path)
+    assert result.returncode == 2
+    assert str(path) in result.stderr
+    assert place in result.stderr
+    assert "Traceback" not in result.stderr
 
 
-def test_a_missing_settings_file_is_told(tmp_path):
+def test_a_missing_settings_file_is_reported(tmp_path):
     """
-    So is one that is not there.
+    The daemon exits with status 2 if the settings file is missing.
     """
-    done = _run_daemon(tmp_path / "none.yaml")
-    assert done.returncode == 2
-    assert "Traceback" not in done.stderr
+    result = _run_daemon(tmp_path / "none.yaml")
+    assert result.returncode == 2
+    assert "Traceback" not in result.stderr
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The burn report: budgets, windows, holes.
+The burn report: error budgets, windows, gaps.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 def test_a_meter_counts_what_an_objective_covers():
     """
-    Only events of the objective's kind and subject count.
+    Only events of an objective's kind and subject are counted.
     """
     only_b = Objective(
         name="b", kind="latency", threshold=0.5, target=0.9, subject="partner-b"
@@ -42,7 +42,7 @@
 
 def test_the_rate_is_a_multiple_of_the_budget():
     """
-    Two bad of ten at a target of 0.9 burn twice the budget.
+    Two bad events of ten at a target of 0.9 spend twice the budget.
     """
     row = burn_rows([_LATENCY], [(100.0, _totals(8, 10))], 60.0, 110.0)[0]
     assert round(row.rate, 6) == 2.0
@@ -52,16 +52,16 @@
 
 def test_a_window_counts_only_what_was_added_in_it():
     """
-    Totals run on, so what an older record held is taken off.
+    Totals are cumulative, so those of a record before the window are subtracted.
     """
     records = [(10.0, _totals(0, 50)), (100.0, _totals(10, 60))]
     row = burn_rows([_LATENCY], records, 60.0, 110.0)[0]
     assert (row.good, row.total) == (10, 10)
 
 
-def test_a_record_that_was_lost_is_covered_by_the_next():
+def test_a_lost_record_is_covered_by_the_next():
     """
-    With the log away for some records nothing is lost, and nothing counts twice.
+    If records were not written, the next one includes their events, once.
     """
     records = [(70.0, _totals(5, 5)), (100.0, _totals(20, 20))]
     assert burn_rows([_LATENCY], records, 60.0, 110.0)[0].total == 20
@@ -69,7 +69,7 @@
 
 def test_two_processes_add_up():
     """
-    A VM's next process begins at zero.
+    Totals of different processes are added, since each process starts at zero.
     """
     records = [(70.0, _totals(5, 5)), (100.0, _totals(3, 4, "b", data_centre="dc-b"))]
     row = burn_rows([_LATENCY], records, 60.0, 110.0)[0]
@@ -77,21 +77,21 @@
     assert row.by_data_centre == {"dc-b": 1}
 
 
-def test_a_process_that_fell_silent_is_a_hole():
+def test_a_process_that_stops_writing_is_a_gap():
     """
-    A killed VM's last counts are told as not known; a planned stop leaves no hole.
+    A killed process is reported as a gap; one that stopped as planned is not.
     """
     records = [
         (10.0, _totals(1, 1, "killed")),
         (10.0, _totals(1, 1, "stopped", final=True)),
         (95.0, _totals(1, 1, "alive")),
     ]
-    holes = find_holes(records, 100.0)
-    assert [hole.incarnation for hole in holes] == ["killed"]
+    gaps = find_holes(records, 100.0)
+    assert [gap.incarnation for gap in gaps] == ["killed"]
 
 
-def test_nothing_counted_is_no_row():
+def test_no_events_make_no_row():
     """
-    A hole never shows as good.
+    A window without events has no row, and so does not count as good.
     """
     assert burn_rows([_LATENCY], [], 60.0, 100.0) == []
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Deployment files: what is refused, and how the message names the place.
+Validation of deployment files and its error messages.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from saddledoor.exceptions import InvalidDocumentError
 
 
-def _problems(data: bytes) -> str:
+def _validation_error(data: bytes) -> str:
     with pytest.raises(InvalidDocumentError) as caught:
         load_checked("file.yaml", data, validate)
     return str(caught.value)
 
 
-def _changed(change) -> bytes:
+def _document_bytes(change) -> bytes:
     document = make_document()
     change(document)
     return yaml.safe_dump(document, sort_keys=False).encode()
@@ -36,7 +36,7 @@
 
 def test_a_valid_file_survives_the_round_trip():
     """
-    The canonical form reads back as the same deployment.
+    The canonical form decodes to the same deployment.
     """
     deployment = make_deployment()
     assert deployment_from_json(deployment_to_json(deployment)) == deployment
@@ -44,7 +44,7 @@
 
 def test_the_schema_is_json():
     """
-    Editors get a JSON Schema.
+    The schema can be printed as JSON.
     """
     assert json.loads(json.dumps(deployment_schema()))
 
@@ -57,7 +57,7 @@
     document["pools"][0]["engines"][0]["slots"] = "many"
 
 
-def _engine_twice(document):
+def _duplicate_engine(document):
     document["pools"][0]["engines"][1]["name"] = "engine-1"
 
 
@@ -73,7 +73,7 @@
     document["pools"][0]["engines"][0]["data_centre"] = "moon"
 
 
-def _truth_as_number(document):
+def _boolean_for_number(document):
     document["pools"][0]["engines"][0]["slots"] = True
 
 
@@ -82,31 +82,31 @@
     [
         (_unknown_field, "pools[0].colour", True),
         (_wrong_type, "pools[0].engines[0].slots", True),
-        (_engine_twice, "pools[0].engines[1].name", True),
+        (_duplicate_engine, "pools[0].engines[1].name", True),
         (_unknown_pool, "trainers[0].pool", True),
         (_negative_bound, "trainers[0].staleness_bound", True),
         (_unknown_data_centre, "pools[0].engines[0].data_centre", True),
-        (_truth_as_number, "pools[0].engines[0].slots", True),
+        (_boolean_for_number, "pools[0].engines[0].slots", True),
     ],
 )
 def test_a_bad_field_is_named_with_its_line(change, place, line):
     """
-    The message names the field's path, its line, what was found and what is allowed.
+    The message has the path and line of the field, the found and the allowed content.
     """
-    data = _changed(change)
-    text = _problems(data)
+    data = _document_bytes(change)
+    text = _validation_error(data)
     assert text.startswith(f"file.yaml: {place}")
     assert ("(line " in text) is line
     assert "found" in text and "allowed" in text
 
 
-def test_the_line_is_the_fields_own():
+def test_the_line_is_that_of_the_field():
     """
-    The line that is told is the one the bad value stands on.
+    The reported line is the one with the invalid value.
     """
-    data = _changed(_wrong_type)
+    data = _document_bytes(_wrong_type)
     line = data.decode().splitlines().index("    slots: many") + 1
-    assert f"(line {line})" in _problems(data)
+    assert f"(line {line})" in _validation_error(data)
 
 
 @pytest.mark.parametrize(
@@ -124,21 +124,21 @@
         (b"a: 2026-13-45\n", "found"),
     ],
 )
-def test_a_file_that_is_no_document_is_refused(data, word):
+def test_an_unreadable_file_is_refused(data, word):
     """
-    Empty, foreign, huge and malformed files get a message, never a traceback.
+    Empty, binary, oversized and malformed files cause an InvalidDocumentError.
     """
-    assert word in _problems(data)
+    assert word in _validation_error(data)
 
 
-def test_every_problem_is_told_at_once():
+def test_every_problem_is_reported():
     """
-    A file with two bad fields names both.
+    The message of a file with two invalid fields names both.
     """
 
-    def both(document):
+    def both_faults(document):
         _wrong_type(document)
         _negative_bound(document)
 
-    text = _problems(_changed(both))
+    text = _validation_error(_document_bytes(both_faults))
     assert "slots" in text and "staleness_bound" in text
--- a/tests/test_failures_operations.py
+++ b/tests/test_failures_operations.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Operation under failure of real processes: configuration, leaving, planned stop.
+Operation during failures of real processes: configuration, leaving, planned stop.
 
-Each test notes the promise that it serves and, where something is refused, the share
-of repeatable requests that were answered during the failure.
+Each test records its promise and, if it causes refusals, the share of repeatable
+requests that were answered during the failure.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 def test_two_operators_race_and_one_wins(bed, record_property):
     """
-    Two files edited from the same offset: one is accepted, the other told what won.
+    Of two files with the same base, one is accepted; the other's author learns which.
     """
     record_property("promise", "configuration")
     base = bed.offset
@@ -45,9 +45,9 @@
     until(lambda: bed.all_in_force(winner["offset"]))
 
 
-def test_a_vm_that_starts_with_the_log_away_learns_from_peers(bed, record_property):
+def test_a_vm_that_starts_without_the_log_learns_from_peers(bed, record_property):
     """
-    It serves by the newest accepted file, and never goes back when the log returns.
+    The VM uses the newest accepted file, and keeps it when the log is back.
     """
     record_property("promise", "configuration")
     changed = {**bed.deployment, "limits": {"max_queue": 300}}
@@ -69,7 +69,7 @@
 
 def test_a_data_centre_cut_from_the_log_gets_changes_from_peers(bed, record_property):
     """
-    A change published meanwhile comes in force there too, by the other data centre.
+    A change published during the partition reaches it through the other data centre.
     """
     record_property("promise", "configuration")
     bed.cut_log("dc-b")
@@ -80,9 +80,9 @@
     record_property("seconds", round(time.monotonic() - began, 2))
 
 
-def test_a_log_that_dropped_old_records_splits_nobody(bed, record_property):
+def test_a_log_that_dropped_old_records_causes_no_divergence(bed, record_property):
     """
-    A VM that starts without the old records waits for peers, and agrees with them.
+    A VM that starts without the old records gets the configuration from its peers.
     """
     record_property("promise", "configuration")
     bed.fake("log", drop_before={"config": 3})
@@ -95,7 +95,7 @@
 
 def test_an_undecodable_record_is_skipped_and_counted(bed, record_property):
     """
-    Nonsense in the log's streams stops nobody.
+    Invalid records in the log's streams cause no failure.
     """
     record_property("promise", "configuration")
     for stream in ("config", "control", "claims-0"):
@@ -110,7 +110,7 @@
 
 def test_an_invalid_file_in_the_log_changes_nothing(bed, record_property):
     """
-    A proposal that no validator takes gets its verdict, and nothing comes in force.
+    An invalid proposal receives its verdict and is not activated.
     """
     record_property("promise", "configuration")
     url = f"http://{bed.log}/v1/streams/config"
@@ -129,7 +129,7 @@
 
 def test_a_leaving_engine_gets_no_new_work_with_the_log_cut(bed, record_property):
     """
-    An engine reports that it leaves while its data centre is cut from the log.
+    An engine reports that it is leaving while its data centre cannot reach the log.
     """
     record_property("promise", "leaving")
     bed.cut_log("dc-a")
@@ -156,7 +156,8 @@
 
 def test_an_engine_marked_and_unmarked_at_once_follows_the_winner(bed, record_property):
     """
-    Two operators race over the mark; every VM follows the one that won.
+    Two operators publish concurrently, one with the mark; every VM uses the accepted
+    file.
     """
     record_property("promise", "leaving")
     marked = _with_state(bed.deployment, "leaving")
@@ -183,9 +184,9 @@
     return {**deployment, "pools": [{**pool, "engines": engines}]}
 
 
-def test_a_planned_stop_cuts_nothing(bed, record_property):
+def test_a_planned_stop_aborts_no_request(bed, record_property):
     """
-    Long requests, a collector's step and late-coming requests survive the stop.
+    Long requests, a collector's step and requests sent during the stop complete.
     """
     record_property("promise", "planned_stop")
     trainer = BackgroundTrainer(make_plan(bed, tokens=90))
@@ -195,7 +196,7 @@
         long = [pool.submit(bed.complete, victim, f"p{n}", 500) for n in range(3)]
         time.sleep(0.3)
         bed.process(victim).signal(signal.SIGTERM)
-        # The balancer goes on sending for some seconds.
+        # The balancer continues to send requests for some seconds.
         late = [
             pool.submit(bed.look_up, victim) for _ in range(10) if not time.sleep(0.05)
         ]
@@ -207,7 +208,7 @@
 
 def test_a_second_signal_ends_a_stopping_vm_at_once(bed, record_property):
     """
-    An operator who cannot wait sends the signal again.
+    A second signal ends the daemon without waiting for its requests.
     """
     record_property("promise", "planned_stop")
     with ThreadPoolExecutor(1) as pool:
@@ -221,9 +222,9 @@
         assert time.monotonic() - began < 8.0
 
 
-def test_a_planned_stop_cuts_no_call_that_came_by_a_peer(bed, record_property):
+def test_a_planned_stop_aborts_no_call_from_a_peer(bed, record_property):
     """
-    A call under an issued key reaches its decider through another VM, which stops.
+    A call with an issued key from another VM completes while the issuer stops.
     """
     record_property("promise", "planned_stop")
     key = bed.ask("dc-a-vm1", "/v1/keys").data["key"]
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests under failure of real processes: at most once, truly not run, whole.
+Requests during failures of real processes: at most once, not run, complete answers.
 
-Each test notes the promise that it serves and, where something is refused, the share
-of repeatable requests that were answered during the failure.
+Each test records its promise and, if it causes refusals, the share of repeatable
+requests that were answered during the failure.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 def test_one_key_at_two_vms_at_once_runs_once(bed, record_property):
     """
-    The same key arrives at every VM at the same time; without a key it runs each time.
+    A key sent to every VM at the same time runs once; without a key each call runs.
     """
     record_property("promise", "at_most_once")
     names = list(bed.vms)
@@ -37,17 +37,17 @@
     assert bed.runs()["many"] == len(names)
 
 
-def test_a_key_survives_its_deciders_death_and_freeze(bed, record_property):
+def test_a_key_survives_pause_and_crash_of_its_owner(bed, record_property):
     """
-    After the VM that ran it is frozen, killed and replaced, the key stays spent.
+    A key stays used after the VM that ran it was paused, killed and replaced.
     """
     record_property("promise", "at_most_once")
     assert bed.book("dc-a-vm1", "r1", "k1").code == 100
     owner = bed.process("dc-a-vm1")
     owner.signal(signal.SIGSTOP)
     time.sleep(QUICK["lease_term"] * 1.2)
-    frozen = bed.book("dc-b-vm1", "r1", "k1", timeout=12.0)
-    assert frozen.family == "unknown"
+    paused_answer = bed.book("dc-b-vm1", "r1", "k1", timeout=12.0)
+    assert paused_answer.family == "unknown"
     owner.signal(signal.SIGCONT)
     assert bed.book("dc-b-vm1", "r1", "k1").code == 100
     owner.signal(signal.SIGKILL)
@@ -59,9 +59,9 @@
     assert bed.runs()["r1"] == 1
 
 
-def test_a_vm_frozen_between_claim_and_call_does_not_run_late(bed, record_property):
+def test_a_vm_paused_between_claim_and_call_does_not_run_late(bed, record_property):
     """
-    A request whose deadline passed while its VM was frozen is not handed over.
+    A request whose deadline passed while its VM was paused is not handed over.
     """
     record_property("promise", "at_most_once")
     bed.fake("log", away=True)
@@ -79,9 +79,9 @@
         assert bed.runs().get("late", 0) == (again.code == 100)
 
 
-def test_with_the_log_away_keys_are_refused_and_look_ups_answered(bed, record_property):
+def test_without_the_log_keys_are_refused_and_look_ups_answered(bed, record_property):
     """
-    Claims are refused at once as not run; issued keys and repeatable calls go on.
+    Without the log, claims are refused as not run; other calls continue.
     """
     record_property("promise", "at_most_once")
     issued = bed.ask("dc-a-vm1", "/v1/keys").data["key"]
@@ -105,7 +105,7 @@
 
 def test_appends_whose_answer_is_lost_run_nothing_twice(bed, record_property):
     """
-    The log takes claims and loses the answers; callers retry with the same key.
+    The log appends claims but its answers are lost; callers retry with the same key.
     """
     record_property("promise", "at_most_once")
     bed.fake("log", lose_answers=6)
@@ -118,7 +118,7 @@
 
 def test_data_centres_cut_off_from_each_other_run_a_key_once(bed, record_property):
     """
-    Each data centre goes on serving; one key at both sides runs once.
+    Each data centre continues to serve; a key sent to both sides runs once.
     """
     record_property("promise", "at_most_once")
     bed.cut_data_centres()
@@ -127,7 +127,7 @@
     first = bed.book("dc-a-vm1", "r1", "k1")
     second = bed.book("dc-b-vm1", "r1", "k1", timeout=12.0)
     assert first.code == 100
-    # The outcome cannot be learnt across the cut, and nothing else may be said.
+    # The outcome is not available across the partition, so it is unknown.
     assert second.code == 301
     assert bed.runs()["r1"] == 1
     assert share == 1.0
@@ -141,9 +141,9 @@
         ("run_and_close", "unknown"),
     ],
 )
-def test_the_family_told_is_the_truth(bed, record_property, fault, family):
+def test_the_outcome_family_is_correct(bed, record_property, fault, family):
     """
-    A service that vouches, and ones that close after reading, at every instance.
+    Instances refuse a call as not started, or close the connection after reading it.
     """
     record_property("promise", "not_run")
     for name in bed.instances:
@@ -165,7 +165,7 @@
     """
     record_property("promise", "not_run")
     path = "/v1/services/desk/book?ref=got"
-    # Warm connections are the ones that a client library would silently reuse.
+    # A client library could repeat a GET silently on a reused connection.
     for _ in range(3):
         bed.ask("dc-a-vm1", "/v1/services/desk/book?ref=warm", b"", method="GET")
     for name in bed.instances:
@@ -177,7 +177,7 @@
 
 def test_dead_services_are_refused_as_not_run(bed, record_property):
     """
-    With every instance dead, both kinds of call are told that they did not run.
+    With every instance dead, both kinds of call are refused as not run.
     """
     record_property("promise", "not_run")
     for name in bed.instances:
@@ -190,7 +190,7 @@
 
 def test_cut_streams_still_give_whole_answers(bed, record_property):
     """
-    Engines break streams in the middle; answers are resumed elsewhere, never cut.
+    Engines abort streams; answers are resumed at another engine, or refused.
     """
     record_property("promise", "whole_answer")
     for name in bed.engines:
@@ -209,7 +209,7 @@
 
 def test_a_stream_that_cannot_be_resumed_has_no_end_marker(bed, record_property):
     """
-    A streamed answer that breaks for good ends in an error, not in ``[DONE]``.
+    A streamed answer that cannot be completed ends with an error, without ``[DONE]``.
     """
     record_property("promise", "whole_answer")
     for name in bed.engines:
--- a/tests/test_failures_samples.py
+++ b/tests/test_failures_samples.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Samples under failure of real processes: labels, delivery, staleness.
+Samples during failures of real processes: labels, delivery, staleness.
 
-Each test notes the promise that it serves and, where something is refused, the share
-of repeatable requests that were answered during the failure.
+Each test records its promise and, if it causes refusals, the share of repeatable
+requests that were answered during the failure.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
 from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
 
 
-def test_labels_stay_true_while_engines_swap_badly(bed, record_property):
+def test_labels_are_correct_during_faulty_swaps(bed, record_property):
     """
-    Swap in mid-sample, an order not carried out, an engine back with old weights.
+    Weights are swapped during samples, an order is not executed, and an engine restarts
+    with old weights.
     """
     record_property("promise", "labels")
     bed.fake("engine-1", pretend_activate=1)
@@ -42,9 +43,10 @@
     until(lambda: bed.engine_versions() == {"engine-1": 2, "engine-2": 2})
 
 
-def test_a_late_order_to_an_unfenced_engine_makes_no_false_label(record_property):
+def test_a_late_order_to_an_unfenced_engine_causes_no_wrong_label(record_property):
     """
-    An engine that ignores fencing numbers goes back; labels and target hold.
+    An engine without fencing reverts its weights; labels stay correct, and it is
+    updated again.
     """
     record_property("promise", "labels")
     with Testbed.open(Shape(timings=QUICK, fenced=False)) as bed:
@@ -60,9 +62,10 @@
         until(lambda: bed.engine_versions()["engine-1"] == 2)
 
 
-def test_a_killed_collector_loses_and_doubles_nothing(bed, record_property):
+def test_a_killed_collector_loses_and_duplicates_nothing(bed, record_property):
     """
-    The collector is killed in mid-step; another VM goes on from the trainer's word.
+    The collector is killed during a step; another VM resumes it from the trainer's
+    received slots.
     """
     record_property("promise", "exactly_once")
     trainer = BackgroundTrainer(make_plan(bed))
@@ -75,9 +78,9 @@
     assert result["submits"] > 1
 
 
-def test_a_frozen_collector_is_found_out(bed, record_property):
+def test_a_paused_collector_is_detected(bed, record_property):
     """
-    The collector is frozen past its lease, and goes on beside its successor.
+    The collector is paused beyond its lease, and resumes beside its successor.
     """
     record_property("promise", "exactly_once")
     trainer = BackgroundTrainer(make_plan(bed, tokens=120))
@@ -91,9 +94,9 @@
     assert_step_is_right(result)
 
 
-def test_a_step_goes_on_while_the_log_is_away(bed, record_property):
+def test_a_step_continues_without_the_log(bed, record_property):
     """
-    The collector's lease lapses with the log away; its trainer still gets everything.
+    The collector's lease expires without the log; the step still completes.
     """
     record_property("promise", "exactly_once")
     trainer = BackgroundTrainer(make_plan(bed, tokens=50, publish_at=2.0))
@@ -107,9 +110,9 @@
     assert share == 1.0
 
 
-def test_no_sample_is_stale_when_weights_move_twice_in_a_step(bed, record_property):
+def test_no_sample_is_stale_when_weights_advance_twice(bed, record_property):
     """
-    Weights move on by two versions while long samples are being made.
+    The weights advance by two versions while long samples are generated.
     """
     record_property("promise", "staleness")
     plan = make_plan(bed, publish_at=0.2, staleness_bound=1, tokens=100)
@@ -121,9 +124,9 @@
     assert_step_is_right(result)
 
 
-def test_a_frozen_control_holder_gives_no_order_after_its_lease(record_property):
+def test_a_paused_control_holder_sends_no_order_after_its_lease(record_property):
     """
-    Engines that ignore fencing numbers see no order of the old holder after the new.
+    Engines without fencing get no order of an old holder after one of its successor.
     """
     record_property("promise", "labels")
     with Testbed.open(Shape(timings=QUICK, fenced=False)) as bed:
@@ -150,7 +153,7 @@
 
 def test_a_swap_survives_its_holder_and_a_failing_engine(bed, record_property):
     """
-    An engine fails its swap and the lease holder is killed in the middle.
+    An engine fails its swap, and the lease holder is killed during the swap.
     """
     record_property("promise", "labels")
     bed.fake("engine-1", fail_activate=1)
@@ -165,7 +168,7 @@
 
 def test_a_step_whose_last_sample_is_at_a_dead_engine_ends(bed, record_property):
     """
-    The engine that makes the last, long sample dies; another one resumes it.
+    The engine that generates the last sample crashes; another one resumes it.
     """
     record_property("promise", "exactly_once")
     plan = make_plan(bed, groups=1, group_size=1, tokens=300, publish_at=2.0)
@@ -181,11 +184,11 @@
     assert_step_is_right(trainer.finish())
 
 
-def test_a_collector_killed_before_the_acknowledgement_doubles_nothing(
+def test_a_collector_killed_before_an_acknowledgement_duplicates_nothing(
     bed, record_property
 ):
     """
-    A batch was sent and kept, and its collector dies before it hears of that.
+    The trainer keeps a batch, and the collector is killed before the acknowledgement.
     """
     record_property("promise", "exactly_once")
     samples = [_sample(group) for group in range(4)]
@@ -207,7 +210,7 @@
 
 def test_finished_samples_outlive_a_planned_stop(bed, record_property):
     """
-    Samples that were finished and not fetched are handed over, not made again.
+    Finished samples are handed to the next collector, and not generated again.
     """
     record_property("promise", "planned_stop")
     samples = [_sample(group) for group in range(6)]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What importing the library costs those who embed it.
+Modules that an import of the library loads.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 def test_the_library_pulls_in_no_io_libraries():
     """
-    Importing the library loads neither grpc, falcon, aiohttp nor telemetry.
+    The import of the library loads no libraries for I/O or telemetry.
     """
     code = (
         "import sys, saddledoor, saddledoor.checked_yaml\n"
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The promises over the pure decisions: green with the mechanism, red without.
+State machines for the promises of the pure decisions, with and without the mechanism.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("proof", _ALL, ids=_IDS)
 def test_the_promise_holds_with_its_mechanism(proof, record_property):
     """
-    No sequence of the failures breaks the promise.
+    No generated sequence of failures breaks the promise.
     """
     record_property("promise", proof.name)
     proof.run(guard=True)
@@ -27,9 +27,9 @@
 @pytest.mark.parametrize("proof", _ALL, ids=_IDS)
 def test_the_proof_fails_without_the_mechanism(proof, record_property):
     """
-    With the mechanism off the same machine finds a broken promise.
+    With the mechanism disabled, the same state machine finds a violation.
     """
     record_property("promise", proof.name)
-    seen = proof.breaks_without()
-    record_property("red", seen)
-    assert seen is not None
+    violation = proof.find_violation()
+    record_property("red", violation)
+    assert violation is not None
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Recorded traces hold against their stated outcomes; each broken twin names its event.
+Replay of the recorded traces, and of traces with one event that breaks a promise.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from saddledoorctl._cli import main
 
 
-_FOLDER = Path(__file__).parent.parent / "traces"
-_TRACES = sorted(_FOLDER.glob("*.jsonl"))
+_TRACE_FOLDER = Path(__file__).parent.parent / "traces"
+_TRACES = sorted(_TRACE_FOLDER.glob("*.jsonl"))
 
 
 def _replay(path: Path):
@@ -26,26 +26,26 @@
 @pytest.mark.parametrize("path", _TRACES, ids=[path.stem for path in _TRACES])
 def test_a_recorded_trace_holds(path):
     """
-    Replaying a trace of real processes makes the same decisions and breaks nothing.
+    The replay of a recorded trace repeats its decisions and finds no violation.
     """
-    done = _replay(path)
-    assert done.exit_code == 0, done.output
+    result = _replay(path)
+    assert result.exit_code == 0, result.output
 
 
 @pytest.mark.parametrize("promise", CHECKS)
-def test_a_broken_twin_is_found_out(promise, record_property):
+def test_an_altered_trace_breaks_its_promise(promise, record_property):
     """
-    A trace that differs in one event breaks its promise at that event.
+    The replay of a trace with one altered event reports the violation at an event.
     """
     record_property("promise", promise)
-    done = _replay(_FOLDER / "broken" / f"{promise}.jsonl")
-    assert done.exit_code == 1
-    assert f"{promise} is broken by event " in done.output
+    result = _replay(_TRACE_FOLDER / "broken" / f"{promise}.jsonl")
+    assert result.exit_code == 1
+    assert f"{promise} is broken by event " in result.output
 
 
 def test_every_promise_has_a_trace():
     """
-    No check stands without a recorded trace that states it.
+    Each check is among the expected outcomes of a recorded trace.
     """
     stated = "".join(path.with_suffix(".outcomes.json").read_text() for path in _TRACES)
     assert [promise for promise in CHECKS if f'"{promise}"' not in stated] == []
@@ -63,15 +63,15 @@
         (None, None),
     ],
 )
-def test_a_file_that_cannot_be_used_is_told(tmp_path, content, outcomes):
+def test_an_unusable_file_is_reported(tmp_path, content, outcomes):
     """
-    Unusable traces and outcomes end with status 2 and name the place.
+    An unusable trace or outcome file causes status 2 and an error message.
     """
     path = tmp_path / "trace.jsonl"
     good = b'{"at": 1, "node": "a", "event": {"kind": "node_began"}}\n'
     path.write_bytes(good if content is None else content)
     if outcomes is not None:
         path.with_suffix(".outcomes.json").write_text(outcomes)
-    done = _replay(path)
-    assert done.exit_code == 2
-    assert "found" in done.output
+    result = _replay(path)
+    assert result.exit_code == 2
+    assert "found" in result.output
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Records of the store that only this project writes, and that cannot be read.
+Invalid records and texts in the store, which only this project writes.
 """
 
 from __future__ import annotations
@@ -47,16 +47,16 @@
 
 
 _OPENED = make_opened(make_job(2))
-_PLACE = StoredText((0,), 4)
+_STORED = StoredText((0,), 4)
 _RECORDS = (
     _OPENED,
-    ItemListed("job-a", ItemResult("item-0", True, _PLACE, (1, 2), "mark")),
+    ItemListed("job-a", ItemResult("item-0", True, _STORED, (1, 2), "mark")),
     ItemFailed("job-a", "item-1", "f-1", True),
-    ItemKept("job-a", "item-1", 1, 2, "", "c-1", (1,), _PLACE),
+    ItemKept("job-a", "item-1", 1, 2, "", "c-1", (1,), _STORED),
     JobEnded("job-a"),
 )
-#: A job's record whose fields are of other types, or too few or too many.
-_BAD_RECORDS = {
+#: Job records with fields of the wrong type, or with missing fields.
+_INVALID_RECORDS = {
     "a list for an id": ["o", ["x"], "h", "/p", "m", 1, 1, 1, 2, [0], 4],
     "a text for a version": ["o", "j", "h", "/p", "m", 1, "1", 1, 2, [0], 4],
     "a text for a size": ["o", "j", "h", "/p", "m", 1, 1, 1, "2", [0], 4],
@@ -85,7 +85,7 @@
     "an empty list": [],
 }
 
-_quick = settings(max_examples=300, derandomize=True, database=None, deadline=None)
+_settings = settings(max_examples=300, derandomize=True, database=None, deadline=None)
 _values = st.recursive(
     st.none()
     | st.booleans()
@@ -99,20 +99,20 @@
 )
 
 
-def _no() -> bool:
+def _never() -> bool:
     return False
 
 
 def _jobs(log: FakeLog) -> JobService:
     texts = TextStore(log, 1000, 4000)
-    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _never, _never)
 
 
-async def _while_running(
+async def _run_while_checking(
     run: Callable[[], Awaitable[None]], check: Callable[[], Awaitable[None]]
 ) -> None:
     """
-    Check something while a loop runs, which must not end by itself.
+    Run a check while a loop runs, and assert that the loop does not end.
     """
     task = asyncio.create_task(run())
     try:
@@ -123,10 +123,10 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-@pytest.mark.parametrize("fields", _BAD_RECORDS.values(), ids=_BAD_RECORDS)
+@pytest.mark.parametrize("fields", _INVALID_RECORDS.values(), ids=_INVALID_RECORDS)
 def test_a_bad_record_of_a_job_hides_nothing_behind_it(fields):
     """
-    It is logged, counted and survived; what may be read of the jobs is as without it.
+    An invalid job record is logged, counted and skipped; later records are applied.
     """
     log = FakeLog()
 
@@ -140,7 +140,7 @@
 
     jobs = _jobs(log)
     with capture_logs() as lines:
-        asyncio.run(_while_running(jobs.run, check))
+        asyncio.run(_run_while_checking(jobs.run, check))
     (line,) = [line for line in lines if line["event"] == "record_skipped"]
     assert (line["topic"], line["offset"]) == ("jobs", 1)
 
@@ -158,7 +158,7 @@
 )
 def test_a_bad_record_of_a_lease_hides_nothing_behind_it(data):
     """
-    The claim behind it stands.
+    An invalid lease record is logged, counted and skipped; later claims are applied.
     """
     log = FakeLog()
 
@@ -170,22 +170,22 @@
 
     leases = LeaseLog(log, "vm-a@127.0.0.1")
     with capture_logs() as lines:
-        asyncio.run(_while_running(leases.run, check))
+        asyncio.run(_run_while_checking(leases.run, check))
     skipped = [line for line in lines if line["event"] == "record_skipped"]
     assert [line["topic"] for line in skipped] == ["control"]
 
 
 def test_a_record_of_a_lease_that_is_nested_deeply_is_refused():
     """
-    As one that cannot be read, however deep.
+    Deeply nested JSON is rejected as undecodable.
     """
     with pytest.raises(UndecodableRecordError):
         decode_record(b"[" * 100_000)
 
 
-def test_a_text_that_cannot_be_read_is_a_result_that_was_given_up():
+def test_an_unreadable_text_is_an_abandoned_result():
     """
-    It keeps its position, and the result behind it is read; one line tells of it.
+    Its result keeps its position, later results are readable, and one line is logged.
     """
     log = FakeLog()
 
@@ -205,17 +205,16 @@
 
     jobs = _jobs(log)
     with capture_logs() as lines:
-        asyncio.run(_while_running(jobs.run, check))
+        asyncio.run(_run_while_checking(jobs.run, check))
     unreadable = [line for line in lines if line["event"] == "text_unreadable"]
     assert [line["item"] for line in unreadable] == ["item-0"]
 
 
-def test_a_job_whose_items_cannot_be_read_is_told_of_once():
+def test_a_job_whose_items_cannot_be_read_is_logged_once():
     """
-    It is read again after pauses that double, counted, and no other job waits for it.
+    Items are read again with exponential backoff, and do not delay other jobs.
 
-    Each of its reads brings the same bytes: without a bound its node read them, and
-    wrote a line, ten times a second until the job was ended.
+    Guards against reading and logging invalid items in a busy loop until the job ends.
     """
     log = FakeLog()
     good = make_job(1, "job-b")
@@ -223,9 +222,9 @@
 
     async def check():
         items = encode_job_items(good.items)
-        (_, placed) = await texts.write([b"\xff" * 4, items], boot_time() + 1.0)
+        (_, stored) = await texts.write([b"\xff" * 4, items], boot_time() + 1.0)
         bad = make_opened(make_job(2), 0)
-        records = [bad, JobOpened.of(good, placed)]
+        records = [bad, JobOpened.of(good, stored)]
         await log.append("jobs", [encode_job_record(record) for record in records])
         assert await jobs.sync()
         until = boot_time() + 0.8
@@ -241,22 +240,22 @@
     texts = TextStore(log, 1000, 4000)
     load = jobs.load_items
 
-    async def counted(state):
+    async def load_and_count(state):
         nonlocal reads
         reads += state.job.job_id == "job-a"
         return await load(state)
 
-    jobs.load_items = counted
+    jobs.load_items = load_and_count
     loader = ItemLoader(jobs, lambda: None)
     with capture_logs() as lines:
-        asyncio.run(_while_running(jobs.run, check))
+        asyncio.run(_run_while_checking(jobs.run, check))
     assert [line["job"] for line in lines if "items" in line["event"]] == ["job-a"]
 
 
 @st.composite
 def _mutated_record(draw: st.DrawFn) -> bytes:
     """
-    A good record with a field changed, or with one too many or too few.
+    Return a valid record with a field replaced, added or removed.
     """
     record = draw(st.sampled_from(_RECORDS))
     fields = msgpack.unpackb(encode_job_record(record))
@@ -266,11 +265,11 @@
     return msgpack.packb(fields)
 
 
-@_quick
+@_settings
 @given(st.binary(max_size=40) | _values.map(msgpack.packb) | _mutated_record())
-def test_whatever_a_record_of_a_job_holds_it_can_be_folded_or_is_refused(data):
+def test_a_job_record_is_foldable_or_refused(data):
     """
-    What is folded is used far from where an error could still be told apart.
+    A job record that is not rejected can be folded, and the job's state stays usable.
     """
     book = JobBook()
     for record in _RECORDS[:4]:
@@ -288,15 +287,15 @@
     book.forget(boot_time(), 120.0, 300.0)
 
 
-@_quick
+@_settings
 @given(
     st.binary(max_size=40)
     | _values.map(msgpack.packb)
     | st.lists(_values, max_size=8).map(lambda fields: msgpack.packb([fields]))
 )
-def test_whatever_stands_for_texts_and_items_is_read_or_refused(data):
+def test_texts_and_items_are_decodable_or_refused(data):
     """
-    Events are texts, and items can be written again as they were.
+    Decoded events are strings, and decoded items survive another encoding.
     """
     for decode in (decode_events, decode_job_items):
         try:
@@ -309,7 +308,7 @@
             assert decode_job_items(encode_job_items(decoded)) == decoded
 
 
-@_quick
+@_settings
 @given(
     st.binary(max_size=40)
     | st.dictionaries(
@@ -321,9 +320,9 @@
         | st.lists(st.integers(), max_size=2),
     ).map(lambda value: json.dumps(value).encode())
 )
-def test_whatever_a_record_of_a_lease_holds_it_can_be_folded_or_is_refused(data):
+def test_a_lease_record_is_foldable_or_refused(data):
     """
-    The lease held by another is still known by its name.
+    A lease record that is not rejected can be folded, and keeps the lease's name.
     """
     fold = LeaseFold().apply(0, LeaseClaim("r-1", "orders", "vm-a#1", -1))
     try:
