--- a/packages/saddledoor-standins/src/saddledoor_standins/_trace_file.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/_trace_file.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from saddledoor.tracing import Event, Traced, encode_traced
+from saddledoor.tracing import Event, TracedEvent, encode_traced
 
 
 __all__ = ["trace_to"]
@@ -27,6 +27,6 @@
     def emit(event: Event) -> None:
         # The clock that the daemons use, so that the files can be put in order.
         now = time.clock_gettime(time.CLOCK_BOOTTIME)
-        file.write(encode_traced(Traced(now, node, event)) + "\n")
+        file.write(encode_traced(TracedEvent(now, node, event)) + "\n")
 
     return emit
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/routing.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/routing.py
@@ -18,7 +18,7 @@
 
 from saddledoor import (
     Candidate,
-    Choose,
+    RoutingPolicy,
     least_outstanding,
     least_reported,
     round_robin,
@@ -40,7 +40,7 @@
 #: How long requests arrive, in seconds.
 _SECONDS = 6.0
 
-POLICIES: dict[str, Callable[[random.Random], Choose]] = {
+POLICIES: dict[str, Callable[[random.Random], RoutingPolicy]] = {
     "random": lambda chance: uniform(chance.random),
     "round robin": lambda chance: round_robin(),
     "least reported": lambda chance: least_reported(),
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -23,7 +23,7 @@
     Sample,
     SampleSpec,
     Slot,
-    StepBook,
+    StepDelivery,
     VersionRun,
     decode_record,
     deployment_from_json,
@@ -195,7 +195,7 @@
         for n in range(samples)
     ]
     tracemalloc.start()
-    book = StepBook.open(1, 1, specs)
+    book = StepDelivery.open(1, 1, specs)
     missing = _milliseconds(lambda: book.missing)
     runs = (VersionRun(1, 0, tokens - 1),)
     for spec in specs:
--- a/packages/saddledoor-standins/src/saddledoor_standins/record.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/record.py
@@ -18,18 +18,18 @@
 from pathlib import Path
 
 from saddledoor.tracing import (
-    Ended,
+    AnswerStreamed,
+    CallEnded,
+    CallRan,
+    ConfigActivated,
     Event,
-    Fetched,
-    Granted,
-    Kept,
-    PutInForce,
-    Ran,
+    FetchAnswered,
+    LeavingSeen,
     RequestIn,
-    SawLeaving,
+    SampleKept,
+    SlotGranted,
     StageChanged,
-    Streamed,
-    Traced,
+    TracedEvent,
     encode_traced,
 )
 
@@ -56,7 +56,7 @@
     return path
 
 
-def write_twin(source: Path, events: list[Traced], promise: str) -> Path:
+def write_twin(source: Path, events: list[TracedEvent], promise: str) -> Path:
     """
     Write a trace that differs in one event and breaks a promise.
     """
@@ -68,7 +68,10 @@
 
 
 def _write(
-    path: Path, events: list[Traced], promises: tuple[str, ...], counts: dict[str, int]
+    path: Path,
+    events: list[TracedEvent],
+    promises: tuple[str, ...],
+    counts: dict[str, int],
 ) -> None:
     path.write_text("".join(encode_traced(traced) + "\n" for traced in events))
     stated = {"promises": list(promises), "counts": counts}
@@ -232,8 +235,8 @@
 
 def _change_first(
     fits: Callable[[Event], bool], change: Callable[[Event], Event]
-) -> Callable[[list[Traced]], list[Traced]]:
-    def mutate(events: list[Traced]) -> list[Traced]:
+) -> Callable[[list[TracedEvent]], list[TracedEvent]]:
+    def mutate(events: list[TracedEvent]) -> list[TracedEvent]:
         index = next(i for i, traced in enumerate(events) if fits(traced.event))
         changed = replace(events[index], event=change(events[index].event))
         return [*events[:index], changed, *events[index + 1 :]]
@@ -242,46 +245,46 @@
 
 
 def _insert_after(
-    fits: Callable[[Event], bool], make: Callable[[Traced], Traced]
-) -> Callable[[list[Traced]], list[Traced]]:
-    def mutate(events: list[Traced]) -> list[Traced]:
+    fits: Callable[[Event], bool], make: Callable[[TracedEvent], TracedEvent]
+) -> Callable[[list[TracedEvent]], list[TracedEvent]]:
+    def mutate(events: list[TracedEvent]) -> list[TracedEvent]:
         index = next(i for i, traced in enumerate(events) if fits(traced.event))
         return [*events[: index + 1], make(events[index]), *events[index + 1 :]]
 
     return mutate
 
 
-def _relabel(event: Kept) -> Kept:
+def _relabel(event: SampleKept) -> SampleKept:
     version, first, last = event.runs[0]
     return replace(event, runs=((version + 1, first, last), *event.runs[1:]))
 
 
-def _old(event: Kept) -> Kept:
+def _old(event: SampleKept) -> SampleKept:
     return replace(event, version=event.version + event.bound + 1)
 
 
-def _cut_short(event: Streamed) -> Streamed:
+def _cut_short(event: AnswerStreamed) -> AnswerStreamed:
     return replace(event, asked=event.asked + 1)
 
 
-def _as_not_run(traced: Traced) -> Traced:
+def _as_not_run(traced: TracedEvent) -> TracedEvent:
     request = traced.event.request_id.rpartition(".")[0]
-    return replace(traced, event=Ended(request, 201))
+    return replace(traced, event=CallEnded(request, 201))
 
 
-def _back(traced: Traced) -> Traced:
-    return replace(traced, event=PutInForce(traced.event.offset))
+def _back(traced: TracedEvent) -> TracedEvent:
+    return replace(traced, event=ConfigActivated(traced.event.offset))
 
 
-def _new_work(traced: Traced) -> Traced:
-    return replace(traced, event=Granted(traced.event.backend))
+def _new_work(traced: TracedEvent) -> TracedEvent:
+    return replace(traced, event=SlotGranted(traced.event.backend))
 
 
-def _other_number(event: Fetched) -> Fetched:
+def _other_number(event: FetchAnswered) -> FetchAnswered:
     return replace(event, number=event.number + 1)
 
 
-def _lost_request(events: list[Traced]) -> list[Traced]:
+def _lost_request(events: list[TracedEvent]) -> list[TracedEvent]:
     stop = next(
         i
         for i, traced in enumerate(events)
@@ -292,38 +295,42 @@
 
 
 #: By promise: the trace that its broken twin comes from, and how it is broken.
-TWINS: dict[str, tuple[str, Callable[[list[Traced]], list[Traced]]]] = {
+TWINS: dict[str, tuple[str, Callable[[list[TracedEvent]], list[TracedEvent]]]] = {
     "labels": (
         "swap-and-killed-collector",
-        _change_first(lambda e: isinstance(e, Kept), _relabel),
+        _change_first(lambda e: isinstance(e, SampleKept), _relabel),
     ),
     "at_most_once": (
         "claims-under-outage",
-        _insert_after(lambda e: isinstance(e, Ran), lambda traced: traced),
+        _insert_after(lambda e: isinstance(e, CallRan), lambda traced: traced),
     ),
     "not_run": (
         "claims-under-outage",
-        _insert_after(lambda e: isinstance(e, Ran), _as_not_run),
+        _insert_after(lambda e: isinstance(e, CallRan), _as_not_run),
     ),
     "exactly_once": (
         "swap-and-killed-collector",
-        _change_first(lambda e: isinstance(e, Fetched) and e.number > 0, _other_number),
+        _change_first(
+            lambda e: isinstance(e, FetchAnswered) and e.number > 0, _other_number
+        ),
     ),
     "staleness": (
         "swap-and-killed-collector",
-        _change_first(lambda e: isinstance(e, Kept), _old),
+        _change_first(lambda e: isinstance(e, SampleKept), _old),
     ),
     "configuration": (
         "operators-race",
-        _insert_after(lambda e: isinstance(e, PutInForce), _back),
+        _insert_after(lambda e: isinstance(e, ConfigActivated), _back),
     ),
     "whole_answer": (
         "swap-and-killed-collector",
-        _change_first(lambda e: isinstance(e, Streamed) and bool(e.runs), _cut_short),
+        _change_first(
+            lambda e: isinstance(e, AnswerStreamed) and bool(e.runs), _cut_short
+        ),
     ),
     "leaving": (
         "leaving-without-log",
-        _insert_after(lambda e: isinstance(e, SawLeaving), _new_work),
+        _insert_after(lambda e: isinstance(e, LeavingSeen), _new_work),
     ),
     "planned_stop": ("planned-stop", _lost_request),
 }
--- a/packages/saddledoor-standins/src/saddledoor_standins/service.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/service.py
@@ -13,7 +13,7 @@
 
 from aiohttp import web
 
-from saddledoor.tracing import Ran
+from saddledoor.tracing import CallRan
 
 from ._serve import cut
 from ._trace_file import trace_to
@@ -65,7 +65,7 @@
             return cut(request)
         reference = request.query.get("ref") or json.loads(raw or b"{}").get("ref", "")
         self.runs[f"{request.path} {reference}"] += 1
-        self._trace(Ran(self.name, request.headers.get("X-Request-Id", "")))
+        self._trace(CallRan(self.name, request.headers.get("X-Request-Id", "")))
         self.running += 1
         try:
             await asyncio.sleep(0.002 + self.faults.delay_s)
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
@@ -22,7 +22,7 @@
 
 import yaml
 
-from saddledoor.tracing import Traced, read_trace
+from saddledoor.tracing import TracedEvent, read_trace
 
 from .fleet import Fleet, Process, Vm, daemon_settings, read_json, wait_listening
 from .testbed_document import (
@@ -160,11 +160,11 @@
         """
         return str(self.fleet.folder / f"{name}.trace")
 
-    def traced(self) -> list[Traced]:
+    def traced(self) -> list[TracedEvent]:
         """
         Return what all processes recorded, in the order in which it happened.
         """
-        events: list[Traced] = []
+        events: list[TracedEvent] = []
         for path in sorted(self.fleet.folder.glob("*.trace")):
             lines = path.read_text().splitlines()
             events += read_trace(path.name, lines) if lines else []
--- a/packages/saddledoor-standins/src/saddledoor_standins/trainer.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/trainer.py
@@ -15,7 +15,7 @@
 
 import aiohttp
 
-from saddledoor.tracing import Kept
+from saddledoor.tracing import SampleKept
 
 from ._balancer import Balancer
 from ._trace_file import trace_to
@@ -234,9 +234,9 @@
         book.mixed += 1
 
 
-def _kept(plan: TrainerPlan, book: _Book, sample: dict, asked: int) -> Kept:
+def _kept(plan: TrainerPlan, book: _Book, sample: dict, asked: int) -> SampleKept:
     made = tuple(int(token.split(":")[0]) for token in sample["text"].split())
-    return Kept(
+    return SampleKept(
         plan.trainer,
         plan.step,
         (sample["group"], sample["index"]),
--- a/packages/saddledoor/src/saddledoor/__init__.py
+++ b/packages/saddledoor/src/saddledoor/__init__.py
@@ -11,11 +11,29 @@
 
 from ._answers import Answer, AnswerBuilder, Part
 from ._attempts import Attempts
-from ._availability import DEAD_REPORT_AGE, PENALTY, Need, may_use
-from ._burn import BurnMeter, BurnRow, Hole, Observation, burn_rows, find_holes
+from ._availability import (
+    DEAD_REPORT_AGE,
+    FAILURE_BACKOFF,
+    BackendRequirement,
+    is_eligible,
+)
+from ._burn import (
+    BurnMeter,
+    BurnRow,
+    CountingGap,
+    Observation,
+    burn_rows,
+    find_counting_gaps,
+)
 from ._claims import ClaimFold, IssuedKeys, key_digest, partition_of
 from ._codes import Family, NotRun, OutcomeUnknown, ResultCode, describe
-from ._config_fold import NO_BASE, Accepted, ConfigFold, InForce, PublishResult
+from ._config_fold import (
+    NO_BASE,
+    AcceptedConfig,
+    ActiveConfig,
+    ConfigFold,
+    PublishResult,
+)
 from ._delivery import (
     Batch,
     FetchRequest,
@@ -23,7 +41,7 @@
     Sample,
     SampleSpec,
     Slot,
-    StepBook,
+    StepDelivery,
 )
 from ._deployment import (
     Deployment,
@@ -40,19 +58,19 @@
     deployment_from_json,
     deployment_schema,
     deployment_to_json,
-    problems_of,
     token_digest,
     validate,
+    validation_problems,
 )
-from ._drain import Drain, Stage
-from ._engine_attempts import AttemptEnd, EngineAttempt, EngineAttempts
+from ._drain import Drain, DrainStage
+from ._engine_attempts import AttemptOutcome, EngineAttempt, EngineAttempts
+from ._engine_crash_fold import EngineCrashFold, PoisonStatus, request_key
 from ._engine_directory import EngineDirectory, EngineEntry
-from ._engine_ends import EngineEnds, Standing, request_key
-from ._engine_memory import EngineMemory, EngineTable
-from ._event_text import EventText, GeneratedEvent, KeptText
+from ._engine_tables import EngineTable, EngineTables
+from ._event_text import EventText, GeneratedEvent, TextSegment
 from ._incarnation import Incarnation
-from ._item_placement import Seat, choose_seat, is_worth_moving
-from ._job_book import JobBook, JobState, KeptParts
+from ._item_placement import PlacementCandidate, choose_placement, is_worth_moving
+from ._job_fold import CheckpointedText, JobFold, JobState
 from ._job_records import (
     decode_events,
     decode_job_items,
@@ -62,10 +80,10 @@
     encode_job_record,
 )
 from ._jobs import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     Job,
     JobEnded,
     JobItem,
@@ -74,7 +92,7 @@
     ScoreCall,
     StoredText,
 )
-from ._labels import VersionRun, append_part, is_fresh, is_wholly_labelled
+from ._labels import VersionRun, append_part, is_fresh, is_fully_labelled
 from ._leases import TAKEOVER_FACTOR, HeldLease, Lease, LeaseFold, LeaseWatch
 from ._members import (
     BackendReport,
@@ -84,7 +102,7 @@
     SiteSummary,
 )
 from ._page_size import PageSize
-from ._queueing import FairQueue, Pushed, WorkClass
+from ._queueing import FairQueue, PushResult, WorkClass
 from ._records import (
     BurnTotals,
     ClaimBatch,
@@ -92,7 +110,7 @@
     ConfigProposal,
     ConfigSnapshot,
     ConfigVerdict,
-    EngineEnded,
+    EngineCrashed,
     KeyClaim,
     LeaseClaim,
     LeaseRelease,
@@ -119,10 +137,10 @@
 )
 from ._routing import (
     Candidate,
-    Choose,
+    RoutingPolicy,
     least_outstanding,
+    least_outstanding_rendezvous,
     least_reported,
-    own_order,
     rendezvous,
     rendezvous_order,
     round_robin,
@@ -131,25 +149,30 @@
 )
 from ._step_order import StepOrder, in_order, longest_first, oldest_allowed
 from ._swaps import EngineWeights, Order, next_orders
-from ._text_lengths import TextLengths
+from ._text_lengths import TextLengthEstimator
 from ._time_left import time_left
-from ._usage import TrueTime, UsageBook, UsageMeter, UsageWindows
-from ._weight_waves import ModelWeights, engines_at_once, followers, wanted_loads
-from ._workspaces import Admitted, KeyBounds, Workspace, WorkspaceTable, admit
+from ._usage import StableClock, UsageFold, UsageMeter, UsageWindows
+from ._weight_loads import (
+    ModelWeights,
+    following_engines,
+    max_concurrent_loads,
+    plan_weight_loads,
+)
+from ._workspaces import Admitted, KeyFreshnessBounds, Workspace, WorkspaceTable, admit
 
 
 __all__ = [
     "request_key",
     "time_left",
     "RequestsCleared",
-    "Standing",
-    "EngineEnded",
-    "EngineEnds",
-    "Accepted",
+    "PoisonStatus",
+    "EngineCrashed",
+    "EngineCrashFold",
+    "AcceptedConfig",
     "Admitted",
     "Answer",
     "AnswerBuilder",
-    "AttemptEnd",
+    "AttemptOutcome",
     "Attempts",
     "BackendReport",
     "Batch",
@@ -157,7 +180,7 @@
     "BurnRow",
     "BurnTotals",
     "Candidate",
-    "Choose",
+    "RoutingPolicy",
     "ClaimBatch",
     "ClaimFold",
     "ClaimRelease",
@@ -173,7 +196,7 @@
     "EngineAttempts",
     "EngineDirectory",
     "EngineEntry",
-    "EngineMemory",
+    "EngineTables",
     "EngineTable",
     "EngineWeights",
     "EventText",
@@ -186,25 +209,25 @@
     "GatewayService",
     "GeneratedEvent",
     "HeldLease",
-    "Hole",
-    "InForce",
+    "CountingGap",
+    "ActiveConfig",
     "Incarnation",
     "Instance",
     "IssuedKeys",
     "ItemFailed",
-    "ItemKept",
-    "ItemListed",
+    "ItemCheckpoint",
+    "ItemResultRecorded",
     "ItemResult",
     "Job",
-    "JobBook",
+    "JobFold",
     "JobEnded",
     "JobItem",
     "JobOpened",
     "JobRecord",
     "JobState",
-    "KeptParts",
-    "KeyBounds",
-    "KeptText",
+    "CheckpointedText",
+    "KeyFreshnessBounds",
+    "TextSegment",
     "KeyClaim",
     "Lease",
     "LeaseClaim",
@@ -218,21 +241,21 @@
     "Model",
     "NO_BASE",
     "ModelWeights",
-    "Need",
+    "BackendRequirement",
     "NotRun",
     "Objective",
     "Observation",
     "Order",
     "OutcomeUnknown",
     "PageSize",
-    "PENALTY",
+    "FAILURE_BACKOFF",
     "Part",
     "Partner",
     "PendingProposal",
     "Pool",
     "PoolSummary",
     "PublishResult",
-    "Pushed",
+    "PushResult",
     "Record",
     "ResultCode",
     "Resync",
@@ -240,8 +263,8 @@
     "Route",
     "RouteKind",
     "RouteTable",
-    "TrueTime",
-    "UsageBook",
+    "StableClock",
+    "UsageFold",
     "UsageCounted",
     "UsageDecided",
     "UsageMeter",
@@ -251,23 +274,23 @@
     "Sample",
     "SampleSpec",
     "ScoreCall",
-    "Seat",
+    "PlacementCandidate",
     "Service",
     "ServiceShare",
     "SiteSummary",
     "Slot",
-    "Stage",
-    "StepBook",
+    "DrainStage",
+    "StepDelivery",
     "StepOrder",
     "StoredText",
     "TAKEOVER_FACTOR",
-    "TextLengths",
+    "TextLengthEstimator",
     "Trainer",
     "VersionRun",
     "WorkClass",
     "append_part",
     "burn_rows",
-    "choose_seat",
+    "choose_placement",
     "decode_events",
     "decode_job_items",
     "decode_job_record",
@@ -280,25 +303,25 @@
     "encode_job_items",
     "encode_job_record",
     "encode_record",
-    "engines_at_once",
-    "find_holes",
-    "followers",
+    "max_concurrent_loads",
+    "find_counting_gaps",
+    "following_engines",
     "in_order",
     "is_fresh",
-    "is_wholly_labelled",
+    "is_fully_labelled",
     "is_worth_moving",
     "key_digest",
     "least_outstanding",
     "least_reported",
     "longest_first",
     "admit",
-    "may_use",
+    "is_eligible",
     "next_orders",
     "oldest_allowed",
-    "own_order",
+    "least_outstanding_rendezvous",
     "pack_document",
     "partition_of",
-    "problems_of",
+    "validation_problems",
     "rendezvous",
     "rendezvous_order",
     "round_robin",
@@ -307,5 +330,5 @@
     "uniform",
     "unpack_document",
     "validate",
-    "wanted_loads",
+    "plan_weight_loads",
 ]
--- a/packages/saddledoor/src/saddledoor/_answers.py
+++ b/packages/saddledoor/src/saddledoor/_answers.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from ._labels import VersionRun, append_part, is_wholly_labelled
+from ._labels import VersionRun, append_part, is_fully_labelled
 
 
 __all__ = ["Answer", "AnswerBuilder", "Part"]
@@ -124,7 +124,7 @@
         finish = self._last.finish_reason
         if finish == _LENGTH and self._tokens != self._max_tokens:
             return None
-        labelled = is_wholly_labelled(self._runs, self._tokens)
+        labelled = is_fully_labelled(self._runs, self._tokens)
         return Answer(self.text, self._tokens, self._runs, finish, labelled)
 
     def _add(self, part: Part) -> None:
--- a/packages/saddledoor/src/saddledoor/_burn.py
+++ b/packages/saddledoor/src/saddledoor/_burn.py
@@ -19,7 +19,14 @@
 from ._records import BurnTotals
 
 
-__all__ = ["BurnMeter", "BurnRow", "Hole", "Observation", "burn_rows", "find_holes"]
+__all__ = [
+    "BurnMeter",
+    "BurnRow",
+    "CountingGap",
+    "Observation",
+    "burn_rows",
+    "find_counting_gaps",
+]
 
 #: Records of a process that may be missing before a hole is told, a count.
 _PATIENCE = 2.5
@@ -62,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Hole:
+class CountingGap:
     """
     A time in which a process counted what nobody will learn.
 
@@ -122,7 +129,9 @@
     return rows
 
 
-def find_holes(records: Iterable[tuple[float, BurnTotals]], now: float) -> list[Hole]:
+def find_counting_gaps(
+    records: Iterable[tuple[float, BurnTotals]], now: float
+) -> list[CountingGap]:
     """
     Return processes that ended, or fell silent, without a last record.
     """
@@ -130,7 +139,7 @@
     for at, record in records:
         newest[record.incarnation] = (at, record)
     return [
-        Hole(record.data_centre, record.incarnation, at)
+        CountingGap(record.data_centre, record.incarnation, at)
         for at, record in newest.values()
         if not record.final and now - at > _PATIENCE * record.every
     ]
--- a/packages/saddledoor/src/saddledoor/_claims.py
+++ b/packages/saddledoor/src/saddledoor/_claims.py
@@ -119,7 +119,7 @@
 
 class IssuedKeys:
     """
-    Keys that name this VM's incarnation as their decider.
+    Keys that name this VM's incarnation as their issuer.
 
     They need no log: the incarnation is never replaced, so its memory is the only
     judge of its keys, and a key of another incarnation is spent.
@@ -146,7 +146,7 @@
             self._keys.popitem(last=False)
         return key
 
-    def take(self, key: str, partner: str) -> bool:
+    def consume(self, key: str, partner: str) -> bool:
         """
         Use a key up; true the first time only, and only for its own partner.
         """
@@ -156,7 +156,7 @@
         state.used = True
         return True
 
-    def give_back(self, key: str) -> None:
+    def restore(self, key: str) -> None:
         """
         Make a key usable again after nothing was handed over.
         """
@@ -164,7 +164,7 @@
             self._keys[key].used = False
 
     @staticmethod
-    def decider(key: str) -> str | None:
+    def issuer(key: str) -> str | None:
         """
         Return the incarnation that decides a key, or none for a caller's own key.
         """
--- a/packages/saddledoor/src/saddledoor/_config_fold.py
+++ b/packages/saddledoor/src/saddledoor/_config_fold.py
@@ -17,7 +17,7 @@
 )
 
 
-__all__ = ["NO_BASE", "Accepted", "ConfigFold", "InForce", "PublishResult"]
+__all__ = ["NO_BASE", "AcceptedConfig", "ConfigFold", "ActiveConfig", "PublishResult"]
 
 #: The base of a proposal that expects no configuration to be accepted yet.
 NO_BASE = -1
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Accepted:
+class AcceptedConfig:
     """
     An accepted configuration.
 
@@ -70,18 +70,18 @@
 
     next_offset: int = 0
     anchored: bool = True
-    accepted: Accepted | None = None
+    accepted: AcceptedConfig | None = None
     pending: dict[int, ConfigProposal] = field(default_factory=dict)
     results: dict[str, tuple[int, PublishResult]] = field(default_factory=dict)
     unanchored: tuple[tuple[int, Record], ...] = ()
-    first_read: int = 0
+    first_offset: int = 0
 
     @classmethod
     def starting_at(cls, first: int) -> ConfigFold:
         """
         Return the state of a node whose log begins at ``first``.
         """
-        return cls(next_offset=first, first_read=first, anchored=first == 0)
+        return cls(next_offset=first, first_offset=first, anchored=first == 0)
 
     def apply(self, offset: int, record: Record) -> ConfigFold:
         """
@@ -95,7 +95,7 @@
         if self.anchored:
             return _apply_anchored(moved, offset, record)
         moved = replace(moved, unanchored=(*self.unanchored, (offset, record)))
-        if isinstance(record, ConfigSnapshot) and record.folded_to >= self.first_read:
+        if isinstance(record, ConfigSnapshot) and record.folded_to >= self.first_offset:
             return _anchor(moved, record)
         return moved
 
@@ -123,7 +123,7 @@
     anchored = replace(
         state,
         anchored=True,
-        accepted=Accepted(snapshot.offset, snapshot.document),
+        accepted=AcceptedConfig(snapshot.offset, snapshot.document),
         pending={p.offset: p.proposal for p in snapshot.pending},
         unanchored=(),
     )
@@ -163,7 +163,7 @@
         refused = PublishResult("invalid", verdict.reason)
         decided = replace(state, pending=others)
         return _settle(decided, verdict.proposal, proposal, refused)
-    accepted = Accepted(verdict.proposal, proposal.document)
+    accepted = AcceptedConfig(verdict.proposal, proposal.document)
     decided = replace(state, accepted=accepted, pending={})
     lost = PublishResult("lost", "", verdict.proposal)
     for offset, loser in others.items():
@@ -190,7 +190,7 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class ActiveConfig:
     """
     The configuration that a node serves by; its offset never goes down.
 
@@ -199,7 +199,7 @@
     :param unusable: Newest accepted offset that this release could not use.
     """
 
-    accepted: Accepted | None = None
+    accepted: AcceptedConfig | None = None
     unusable: int = NO_BASE
 
     @property
@@ -209,7 +209,9 @@
         """
         return self.accepted.offset if self.accepted else NO_BASE
 
-    def offer(self, accepted: Accepted | None, usable: bool = True) -> InForce:
+    def offer(
+        self, accepted: AcceptedConfig | None, usable: bool = True
+    ) -> ActiveConfig:
         """
         Take a newer accepted configuration; an older or equal one changes nothing.
 
@@ -219,4 +221,4 @@
             return self
         if not usable:
             return replace(self, unusable=accepted.offset)
-        return InForce(accepted)
+        return ActiveConfig(accepted)
--- a/packages/saddledoor/src/saddledoor/_delivery.py
+++ b/packages/saddledoor/src/saddledoor/_delivery.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ._labels import VersionRun, is_fresh, is_wholly_labelled
+from ._labels import VersionRun, is_fresh, is_fully_labelled
 
 
 __all__ = [
@@ -25,7 +25,7 @@
     "Sample",
     "SampleSpec",
     "Slot",
-    "StepBook",
+    "StepDelivery",
 ]
 
 
@@ -106,7 +106,7 @@
 
 
 @dataclass
-class StepBook:
+class StepDelivery:
     """
     What one collector knows of one step.
 
@@ -130,8 +130,8 @@
         bound: int,
         specs: Iterable[SampleSpec],
         received: Iterable[Slot] = (),
-        before: StepBook | None = None,
-    ) -> StepBook:
+        before: StepDelivery | None = None,
+    ) -> StepDelivery:
         """
         Open the book of a submitted step.
 
@@ -182,7 +182,7 @@
         slot = sample.slot
         if slot not in self.specs or slot in self.received or slot in self.ready:
             return False
-        if not is_wholly_labelled(sample.runs, sample.tokens):
+        if not is_fully_labelled(sample.runs, sample.tokens):
             return False
         self.ready[slot] = sample
         return True
--- a/packages/saddledoor/src/saddledoor/_deployment.py
+++ b/packages/saddledoor/src/saddledoor/_deployment.py
@@ -261,14 +261,14 @@
     try:
         return _ADAPTER.validate_json(_ADAPTER_JSON.dump_json(document))
     except ValidationError as error:
-        raise InvalidDocumentError(name, problems_of(error)) from None
+        raise InvalidDocumentError(name, validation_problems(error)) from None
 
 
 # Lists become tuples and YAML's scalars meet JSON's strict rules on this way round.
 _ADAPTER_JSON = TypeAdapter(object)
 
 
-def problems_of(error: ValidationError) -> tuple[Problem, ...]:
+def validation_problems(error: ValidationError) -> tuple[Problem, ...]:
     """
     Turn a validation error into problems that name path, finding and allowance.
     """
@@ -305,7 +305,7 @@
     try:
         return _ADAPTER.validate_json(data)
     except ValidationError as error:
-        raise InvalidDocumentError("record", problems_of(error)) from None
+        raise InvalidDocumentError("record", validation_problems(error)) from None
 
 
 def deployment_schema() -> dict[str, object]:
--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -10,10 +10,10 @@
 from enum import StrEnum
 
 
-__all__ = ["Drain", "Stage"]
+__all__ = ["Drain", "DrainStage"]
 
 
-class Stage(StrEnum):
+class DrainStage(StrEnum):
     """
     How far a VM is on its way out.
     """
@@ -37,36 +37,40 @@
 
     lame_duck: float
     limit: float
-    told_at: float | None = None
-    told_again: bool = False
+    stop_requested_at: float | None = None
+    stop_requested_twice: bool = False
     handed_over: bool = False
     stopped: bool = False
 
     @property
-    def stage(self) -> Stage:
+    def stage(self) -> DrainStage:
         """
         The stage that peers and the balancer are told.
         """
         if self.stopped:
-            return Stage.STOPPED
-        return Stage.SERVING if self.told_at is None else Stage.DRAINING
-
-    def tell(self, now: float) -> None:
+            return DrainStage.STOPPED
+        return (
+            DrainStage.SERVING
+            if self.stop_requested_at is None
+            else DrainStage.DRAINING
+        )
+
+    def request_stop(self, now: float) -> None:
         """
         Take a signal; the second one ends the VM at once.
         """
-        if self.told_at is None:
-            self.told_at = now
+        if self.stop_requested_at is None:
+            self.stop_requested_at = now
         else:
-            self.told_again = True
+            self.stop_requested_twice = True
 
     def may_hand_over(self, now: float, in_flight: int) -> bool:
         """
         Tell whether leases and finished samples may go to a peer now.
         """
-        if self.told_at is None:
+        if self.stop_requested_at is None:
             return False
-        after = now - self.told_at
+        after = now - self.stop_requested_at
         if after < self.lame_duck:
             return False
         return in_flight == 0 or self._out_of_time(now)
@@ -75,11 +79,11 @@
         """
         Tell whether the process may end now.
         """
-        if self.told_again:
+        if self.stop_requested_twice:
             return True
-        if self.told_at is None or not self.handed_over:
+        if self.stop_requested_at is None or not self.handed_over:
             return False
         return in_flight == 0 or self._out_of_time(now)
 
     def _out_of_time(self, now: float) -> bool:
-        return now - self.told_at >= self.lame_duck + self.limit
+        return now - self.stop_requested_at >= self.lame_duck + self.limit
--- a/packages/saddledoor/src/saddledoor/_engine_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_engine_attempts.py
@@ -12,7 +12,7 @@
 from ._incarnation import Incarnation
 
 
-__all__ = ["AttemptEnd", "EngineAttempt", "EngineAttempts"]
+__all__ = ["AttemptOutcome", "EngineAttempt", "EngineAttempts"]
 
 #: Pause before a request goes again to the same engine, in seconds, doubled with each
 #: attempt there: twice the usual work of a look-up (40 ms), so that an engine that is
@@ -24,7 +24,7 @@
 _FAILED_PAUSE = 0.4
 
 
-class AttemptEnd(Enum):
+class AttemptOutcome(Enum):
     """
     How an attempt ended, as far as it says whether the engine may have it again.
     """
@@ -41,9 +41,13 @@
 
 
 #: Ends after which the engine lives and is done with the request.
-_MAY_RETURN = frozenset({AttemptEnd.NOT_RUN, AttemptEnd.UNUSABLE, AttemptEnd.FAILED})
+_MAY_RETURN = frozenset(
+    {AttemptOutcome.NOT_RUN, AttemptOutcome.UNUSABLE, AttemptOutcome.FAILED}
+)
 #: Ends that use up an attempt: the engine may be at work on it or has failed on it.
-_SPENT = frozenset({AttemptEnd.RUNNING, AttemptEnd.FAILED, AttemptEnd.BROKEN})
+_SPENT = frozenset(
+    {AttemptOutcome.RUNNING, AttemptOutcome.FAILED, AttemptOutcome.BROKEN}
+)
 
 
 @dataclass(eq=False)
@@ -55,10 +59,10 @@
     """
 
     engine: Incarnation
-    end: AttemptEnd = AttemptEnd.RUNNING
+    end: AttemptOutcome = AttemptOutcome.RUNNING
     ended_at: float | None = None
 
-    def finish(self, end: AttemptEnd, now: float) -> None:
+    def finish(self, end: AttemptOutcome, now: float) -> None:
         self.end = end
         self.ended_at = now
 
@@ -103,13 +107,13 @@
         self._attempts.append(attempt)
         return attempt
 
-    def may_go_on(self) -> bool:
+    def may_try_another_engine(self) -> bool:
         """
         Whether the request may be sent to one engine more.
         """
         return len(self.engines) < self._most and self._has_attempts_left()
 
-    def may_return_at(self) -> dict[Incarnation, float]:
+    def earliest_retry_times(self) -> dict[Incarnation, float]:
         """
         Return the engines that may have the request again, and each one's earliest
         time, monotonic, in seconds.
@@ -131,5 +135,5 @@
     def _rested_at(self, engine: Incarnation) -> float:
         there = [a for a in self._attempts if a.engine == engine]
         newest = there[-1]
-        pause = _FAILED_PAUSE if newest.end is AttemptEnd.FAILED else _PAUSE
+        pause = _FAILED_PAUSE if newest.end is AttemptOutcome.FAILED else _PAUSE
         return (newest.ended_at or 0.0) + pause * 2 ** (len(there) - 1)
--- a/packages/saddledoor/src/saddledoor/_engine_ends.py
+++ b/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
@@ -12,10 +12,10 @@
 from enum import Enum
 
 from ._incarnation import Incarnation
-from ._records import EngineEnded, RequestsCleared
+from ._records import EngineCrashed, RequestsCleared
 
 
-__all__ = ["EngineEnds", "Standing", "request_key"]
+__all__ = ["EngineCrashFold", "PoisonStatus", "request_key"]
 
 #: Ends under which a request was that make it one that ends engines, a count: an engine
 #: may end by itself, and twice by chance.
@@ -47,20 +47,20 @@
     return digest.hexdigest()
 
 
-class Standing(Enum):
+class PoisonStatus(Enum):
     """
     What the ends of engines say of a request.
     """
 
     #: Nothing.
-    FREE = "free"
+    CLEAN = "free"
     #: It was there, as others may have been; it runs, best without another suspect.
     SUSPECT = "suspect"
     #: It was there as often as one that ends engines, but never as the only suspect: it
     #: runs only where no other suspect does.
-    UNCLEAR = "unclear"
+    AMBIGUOUS = "unclear"
     #: It ends engines, and no engine gets it.
-    BARRED = "barred"
+    QUARANTINED = "barred"
 
 
 @dataclass
@@ -76,7 +76,7 @@
     requests: set[str] = field(default_factory=set)
 
 
-class EngineEnds:
+class EngineCrashFold:
     """
     The ends of engines that anybody saw, folded from the log.
 
@@ -104,7 +104,7 @@
         :param now: Monotonic, in seconds.
         """
         match record:
-            case EngineEnded():
+            case EngineCrashed():
                 self._end(record, now)
             case RequestsCleared():
                 for end in self._ends.values():
@@ -114,26 +114,26 @@
         self._forget(now)
         self._judge()
 
-    def standing(self, key: str, now: float) -> Standing:
+    def poison_status(self, key: str, now: float) -> PoisonStatus:
         """
         Return what is known of a request.
         """
         if self._forget(now):
             self._judge()
         if key in self._barred:
-            return Standing.BARRED
+            return PoisonStatus.QUARANTINED
         blame = self._blame[key]
         if not blame:
-            return Standing.FREE
-        return Standing.SUSPECT if blame < _ENOUGH else Standing.UNCLEAR
+            return PoisonStatus.CLEAN
+        return PoisonStatus.SUSPECT if blame < _ENOUGH else PoisonStatus.AMBIGUOUS
 
-    def speaks_against(self, key: str) -> bool:
+    def is_implicated(self, key: str) -> bool:
         """
         Whether a request was at any end that is remembered.
         """
         return any(key in end.requests for end in self._ends.values())
 
-    def to_tell_again(self, key: str, now: float) -> list[EngineEnded]:
+    def crashes_to_republish(self, key: str, now: float) -> list[EngineCrashed]:
         """
         Return what bars a request if the log may forget it before the request does.
         """
@@ -145,11 +145,11 @@
             end.told_at = now
             self._ends.move_to_end(incarnation)
         return [
-            EngineEnded(i.engine_id, i.started_at, tuple(sorted(end.requests)))
+            EngineCrashed(i.engine_id, i.started_at, tuple(sorted(end.requests)))
             for i, end in old
         ]
 
-    def _end(self, record: EngineEnded, now: float) -> None:
+    def _end(self, record: EngineCrashed, now: float) -> None:
         incarnation = Incarnation(record.engine, record.started_at)
         end = self._ends.setdefault(incarnation, _End(now))
         end.told_at = now
--- a/packages/saddledoor/src/saddledoor/_engine_directory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_directory.py
@@ -111,7 +111,7 @@
         self._missing.pop(engine_id, None)
         self._earlier.discard(engine_id)
 
-    def store_regained(self, now: float) -> None:
+    def record_store_recovery(self, now: float) -> None:
         """
         Note that the store answers again.
         """
--- a/packages/saddledoor/src/saddledoor/_engine_memory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_tables.py
@@ -12,14 +12,14 @@
 from ._incarnation import Incarnation
 
 
-__all__ = ["EngineMemory", "EngineTable"]
+__all__ = ["EngineTables", "EngineTable"]
 
 T = TypeVar("T")
 
 
 class EngineTable(Generic[T]):
     """
-    A row for each life of an engine; made by `EngineMemory.table`.
+    A row for each life of an engine; made by `EngineTables.table`.
     """
 
     def __init__(self, make: Callable[[], T], ended: Callable[[T], None]) -> None:
@@ -60,7 +60,7 @@
     pass
 
 
-class EngineMemory:
+class EngineTables:
     """
     The tables of all who remember something of an engine.
 
--- a/packages/saddledoor/src/saddledoor/_event_text.py
+++ b/packages/saddledoor/src/saddledoor/_event_text.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["EventText", "GeneratedEvent", "KeptText"]
+__all__ = ["EventText", "GeneratedEvent", "TextSegment"]
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class KeptText:
+class TextSegment:
     """
     A part of a text, and what is known of the whole up to its end.
 
@@ -70,7 +70,7 @@
         """
         return "\n".join(self._events)
 
-    def __init__(self, chain: str, kept: KeptText | None = None) -> None:
+    def __init__(self, chain: str, kept: TextSegment | None = None) -> None:
         self._chain = chain
         self._events: list[str] = list(kept.events) if kept else []
         self._versions: list[int] = list(kept.versions) if kept else []
@@ -91,9 +91,9 @@
             self._versions.append(event.version)
         return True
 
-    def since(self, number: int) -> KeptText:
+    def since(self, number: int) -> TextSegment:
         """
         Return the events after one, with the versions that made any of the text.
         """
         events = tuple(self._events[number:])
-        return KeptText(events, tuple(self._versions), self._chain)
+        return TextSegment(events, tuple(self._versions), self._chain)
--- a/packages/saddledoor/src/saddledoor/_item_placement.py
+++ b/packages/saddledoor/src/saddledoor/_item_placement.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["Seat", "choose_seat", "is_worth_moving"]
+__all__ = ["PlacementCandidate", "choose_placement", "is_worth_moving"]
 
 #: Gaps that differ by less count as alike, as a ratio: a request more in an engine's
 #: batch makes 1 %, and a mean over a few gaps is not better than that.
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Seat:
+class PlacementCandidate:
     """
     An engine that has room and may run an item.
 
@@ -51,9 +51,9 @@
     gap: float | None = None
 
 
-def choose_seat(
-    seats: Sequence[Seat], best_gap: float | None, is_long: bool
-) -> Seat | None:
+def choose_placement(
+    seats: Sequence[PlacementCandidate], best_gap: float | None, is_long: bool
+) -> PlacementCandidate | None:
     """
     Return the engine for an item, or none without any.
 
@@ -65,15 +65,15 @@
     if not seats:
         return None
 
-    def slowness(seat: Seat) -> float:
+    def slowness(seat: PlacementCandidate) -> float:
         # An engine of which nothing is known is tried.
         return seat.gap / best_gap if seat.gap and best_gap else 1.0
 
-    def long_key(seat: Seat) -> tuple[float, ...]:
+    def long_key(seat: PlacementCandidate) -> tuple[float, ...]:
         steps = round(math.log(max(slowness(seat), 1.0), _ALIKE))
         return steps, seat.long_running, seat.running
 
-    def short_key(seat: Seat) -> tuple[float, ...]:
+    def short_key(seat: PlacementCandidate) -> tuple[float, ...]:
         return slowness(seat) > _SLOW, seat.long_running, seat.running
 
     return min(seats, key=long_key if is_long else short_key)
--- a/packages/saddledoor/src/saddledoor/_job_book.py
+++ b/packages/saddledoor/src/saddledoor/_job_fold.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 
 from ._jobs import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     JobEnded,
     JobItem,
     JobOpened,
@@ -26,11 +26,11 @@
 )
 
 
-__all__ = ["JobBook", "JobState", "KeptParts"]
+__all__ = ["JobFold", "JobState", "CheckpointedText"]
 
 
 @dataclass(frozen=True)
-class KeptParts:
+class CheckpointedText:
     """
     What the log holds of a text whose run was given up.
 
@@ -51,7 +51,7 @@
     """
     A job and what the log says of it.
 
-    :param known_since: When this process learnt of it, monotonic, in seconds; the job
+    :param first_seen_at: When this process learnt of it, monotonic, in seconds; the job
         is at least as old as that says.
     :param items: By id, in the job's order; none before this node has read them.
     :param results: In the order of their positions.
@@ -59,12 +59,12 @@
 
     job: JobOpened
     order: int
-    known_since: float
+    first_seen_at: float
     items: dict[str, JobItem] | None = None
     results: list[ItemResult] = field(default_factory=list)
     listed: set[str] = field(default_factory=set)
     failed: set[ItemFailed] = field(default_factory=set)
-    kept: dict[str, KeptParts] = field(default_factory=dict)
+    kept: dict[str, CheckpointedText] = field(default_factory=dict)
     ended: bool = False
 
     @property
@@ -89,7 +89,7 @@
     def _count(self, item_id: str, scoring: bool) -> int:
         return sum(f.item_id == item_id and f.scoring == scoring for f in self.failed)
 
-    def unlisted(self) -> Iterator[JobItem]:
+    def items_without_result(self) -> Iterator[JobItem]:
         """
         Return the items that have no result, in the order of the job; none before this
         node has read them.
@@ -98,7 +98,7 @@
         return (item for name, item in items.items() if name not in self.listed)
 
 
-class JobBook:
+class JobFold:
     """
     All jobs, folded from the log's records.
     """
@@ -151,7 +151,7 @@
         """
         for job_id, state in list(self._jobs.items()):
             keep = ended_for if state.ended else open_for
-            if now - state.known_since > keep:
+            if now - state.first_seen_at > keep:
                 del self._jobs[job_id]
 
     def _open(self, job: JobOpened, now: float) -> None:
@@ -165,24 +165,24 @@
 
 
 def _apply_change(
-    state: JobState, record: ItemListed | ItemFailed | ItemKept | JobEnded
+    state: JobState, record: ItemResultRecorded | ItemFailed | ItemCheckpoint | JobEnded
 ) -> None:
     match record:
-        case ItemListed(result=result):
+        case ItemResultRecorded(result=result):
             if result.item_id not in state.listed:
                 state.listed.add(result.item_id)
                 state.results.append(result)
                 state.kept.pop(result.item_id, None)
         case ItemFailed():
             state.failed.add(record)
-        case ItemKept():
+        case ItemCheckpoint():
             _keep(state, record)
         case JobEnded():
             state.ended = True
             state.kept.clear()
 
 
-def _keep(state: JobState, record: ItemKept) -> None:
+def _keep(state: JobState, record: ItemCheckpoint) -> None:
     """
     Add events that go on exactly where the kept ones end, in the same chain.
 
@@ -190,18 +190,18 @@
     appends must not be joined to what the first one has, even where the numbers fit.
     A whole text that is longer takes the place of what was kept.
     """
-    before = state.kept.get(record.item_id, KeptParts())
+    before = state.kept.get(record.item_id, CheckpointedText())
     if state.ended or record.item_id in state.listed:
         return
     if record.first == before.count + 1 and record.follows == before.chain:
         new = [v for v in record.versions if v not in before.versions]
-        state.kept[record.item_id] = KeptParts(
+        state.kept[record.item_id] = CheckpointedText(
             before.count + record.count,
             (*before.versions, *new),
             record.chain,
             (*before.parts, record.text),
         )
     elif record.first == 1 and record.count > before.count:
-        state.kept[record.item_id] = KeptParts(
+        state.kept[record.item_id] = CheckpointedText(
             record.count, record.versions, record.chain, (record.text,)
         )
--- a/packages/saddledoor/src/saddledoor/_job_records.py
+++ b/packages/saddledoor/src/saddledoor/_job_records.py
@@ -9,10 +9,10 @@
 import msgpack
 
 from ._jobs import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     JobEnded,
     JobItem,
     JobOpened,
@@ -45,13 +45,13 @@
             place = _place(record.items)
             owner = [] if record.workspace is None else [record.workspace]
             return msgpack.packb(["o", record.job_id, *fields, *place, *owner])
-        case ItemListed(result=result):
+        case ItemResultRecorded(result=result):
             fields = [result.item_id, result.done, list(result.versions), result.score]
             return msgpack.packb(["r", record.job_id, *fields, *_place(result.text)])
         case ItemFailed():
             fields = [record.item_id, record.failure_id, record.scoring]
             return msgpack.packb(["f", record.job_id, *fields])
-        case ItemKept():
+        case ItemCheckpoint():
             fields = [record.item_id, record.first, record.count, record.follows]
             made = [record.chain, list(record.versions)]
             place = _place(record.text)
@@ -139,19 +139,21 @@
     return None if workspace is None else _text(workspace)
 
 
-def _listed(job_id, item_id, done, versions, score, *place) -> ItemListed:
+def _listed(job_id, item_id, done, versions, score, *place) -> ItemResultRecorded:
     result = ItemResult(
         _text(item_id), _flag(done), _stored(*place), _wholes(versions), _text(score)
     )
-    return ItemListed(_text(job_id), result)
+    return ItemResultRecorded(_text(job_id), result)
 
 
 def _failed(job_id, item_id, failure_id, scoring) -> ItemFailed:
     return ItemFailed(_text(job_id), _text(item_id), _text(failure_id), _flag(scoring))
 
 
-def _kept(job_id, item_id, first, count, follows, chain, versions, *place) -> ItemKept:
-    return ItemKept(
+def _kept(
+    job_id, item_id, first, count, follows, chain, versions, *place
+) -> ItemCheckpoint:
+    return ItemCheckpoint(
         _text(job_id),
         _text(item_id),
         _whole(first),
--- a/packages/saddledoor/src/saddledoor/_jobs.py
+++ b/packages/saddledoor/src/saddledoor/_jobs.py
@@ -11,8 +11,8 @@
 
 __all__ = [
     "ItemFailed",
-    "ItemKept",
-    "ItemListed",
+    "ItemCheckpoint",
+    "ItemResultRecorded",
     "ItemResult",
     "Job",
     "JobEnded",
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True)
-class ItemListed:
+class ItemResultRecorded:
     """
     An item's result.
     """
@@ -198,7 +198,7 @@
 
 
 @dataclass(frozen=True)
-class ItemKept:
+class ItemCheckpoint:
     """
     Events that the next node to run an item may go on from.
 
@@ -229,4 +229,4 @@
     job_id: str
 
 
-JobRecord = JobOpened | ItemListed | ItemFailed | ItemKept | JobEnded
+JobRecord = JobOpened | ItemResultRecorded | ItemFailed | ItemCheckpoint | JobEnded
--- a/packages/saddledoor/src/saddledoor/_labels.py
+++ b/packages/saddledoor/src/saddledoor/_labels.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["VersionRun", "append_part", "is_fresh", "is_wholly_labelled"]
+__all__ = ["VersionRun", "append_part", "is_fresh", "is_fully_labelled"]
 
 
 @dataclass(frozen=True)
@@ -35,7 +35,7 @@
     Add a part of an engine's stream to the label.
 
     A part whose version the engine did not name adds nothing, so the runs no longer
-    cover the answer and `is_wholly_labelled` says so.
+    cover the answer and `is_fully_labelled` says so.
 
     :param version: What the engine named in this very part, or none.
     :param tokens: Tokens of the part, a count.
@@ -49,7 +49,7 @@
     return (*runs, VersionRun(version, first, last))
 
 
-def is_wholly_labelled(runs: Iterable[VersionRun], tokens: int) -> bool:
+def is_fully_labelled(runs: Iterable[VersionRun], tokens: int) -> bool:
     """
     Tell whether the runs cover exactly ``tokens`` tokens.
     """
--- a/packages/saddledoor/src/saddledoor/_leases.py
+++ b/packages/saddledoor/src/saddledoor/_leases.py
@@ -28,13 +28,13 @@
     Who holds a lease, as the log says.
 
     :param fence: Offset of the holder's claim.
-    :param last: Offset of the newest claim or renewal that counted.
+    :param last_offset: Offset of the newest claim or renewal that counted.
     """
 
     name: str
     holder: str
     fence: int
-    last: int
+    last_offset: int
     released: bool = False
     claim_id: str = ""
 
@@ -87,13 +87,13 @@
             return None
         return taken
     # Void if a renewal stands between what the taker saw and its claim.
-    return taken if record.seen == lease.last else None
+    return taken if record.seen == lease.last_offset else None
 
 
 def _renew(lease: Lease | None, offset: int, record: LeaseRenewal) -> Lease | None:
     if lease is None or lease.released or lease.fence != record.fence:
         return None
-    return replace(lease, last=offset)
+    return replace(lease, last_offset=offset)
 
 
 def _release(lease: Lease | None, record: LeaseRelease) -> Lease | None:
@@ -120,12 +120,12 @@
 
         :param now: Monotonic time that goes on while the VM is suspended, in seconds.
         """
-        last = lease.last if lease else -1
+        last = lease.last_offset if lease else -1
         if last != self._seen:
             self._seen = last
             self._since = now
 
-    def may_take(self, lease: Lease | None, now: float) -> bool:
+    def may_claim(self, lease: Lease | None, now: float) -> bool:
         """
         Tell whether a claim may be appended now.
         """
--- a/packages/saddledoor/src/saddledoor/_members.py
+++ b/packages/saddledoor/src/saddledoor/_members.py
@@ -60,7 +60,7 @@
     grpc_outside: str = ""
 
     @property
-    def urgent(self) -> tuple[object, ...]:
+    def urgent_state(self) -> tuple[object, ...]:
         """
         What others must hear of at once when it changes; loads are not urgent.
         """
--- a/packages/saddledoor/src/saddledoor/_queueing.py
+++ b/packages/saddledoor/src/saddledoor/_queueing.py
@@ -12,7 +12,7 @@
 from typing import Generic, TypeVar
 
 
-__all__ = ["FairQueue", "Pushed", "Ticket", "WorkClass"]
+__all__ = ["FairQueue", "PushResult", "Ticket", "WorkClass"]
 
 _T = TypeVar("_T")
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Pushed(Generic[_T]):
+class PushResult(Generic[_T]):
     """
     What became of a request at the queue's door.
 
@@ -88,7 +88,7 @@
 
     def push(
         self, work: WorkClass, partner: str, cost: float, weight: float, item: _T
-    ) -> Pushed[_T]:
+    ) -> PushResult[_T]:
         """
         Queue a request.
 
@@ -107,11 +107,11 @@
         if len(line) >= self._capacity:
             last = max(line)
             if last <= ticket:
-                return Pushed(queued=False)
+                return PushResult(queued=False)
             displaced = self._remove(work, last)
         self._finish[(work, partner)] = start + cost / weight
         heapq.heappush(line, ticket)
-        return Pushed(True, displaced)
+        return PushResult(True, displaced)
 
     def _remove(self, work: WorkClass, ticket: Ticket[_T]) -> _T:
         line = self._lines[work]
--- a/packages/saddledoor/src/saddledoor/_records.py
+++ b/packages/saddledoor/src/saddledoor/_records.py
@@ -23,7 +23,7 @@
     "ConfigProposal",
     "ConfigSnapshot",
     "ConfigVerdict",
-    "EngineEnded",
+    "EngineCrashed",
     "KeyClaim",
     "LeaseClaim",
     "LeaseRelease",
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True)
-class EngineEnded:
+class EngineCrashed:
     """
     An engine's process ended while it ran requests.
 
@@ -255,7 +255,7 @@
     | LeaseRelease
     | ClaimBatch
     | ClaimRelease
-    | EngineEnded
+    | EngineCrashed
     | RequestsCleared
     | UsageCounted
     | UsageDecided
--- a/packages/saddledoor/src/saddledoor/_replay.py
+++ b/packages/saddledoor/src/saddledoor/_replay.py
@@ -23,14 +23,14 @@
     staleness,
     whole_answer,
 )
-from ._trace import Traced
+from ._trace import TracedEvent
 
 
-__all__ = ["CHECKS", "Broken", "Outcomes", "replay"]
+__all__ = ["CHECKS", "Violation", "ExpectedOutcomes", "replay"]
 
 
 @dataclass(frozen=True)
-class Broken:
+class Violation:
     """
     The first event that breaks a promise.
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Outcomes:
+class ExpectedOutcomes:
     """
     What is stated of a trace.
 
@@ -56,7 +56,9 @@
     counts: dict[str, int]
 
 
-def replay(events: Iterable[Traced], outcomes: Outcomes) -> Broken | None:
+def replay(
+    events: Iterable[TracedEvent], outcomes: ExpectedOutcomes
+) -> Violation | None:
     """
     Check a trace against its stated outcomes.
 
@@ -70,15 +72,15 @@
         for name, check in checks.items():
             reason = check.on_event(traced)
             if reason is not None:
-                return Broken(name, index, f"{traced.node}: {reason}")
+                return Violation(name, index, f"{traced.node}: {reason}")
     for name, check in checks.items():
         reason = check.at_end()
         if reason is not None:
-            return Broken(name, index + 1, reason)
+            return Violation(name, index + 1, reason)
     for kind, count in outcomes.counts.items():
         if counts[kind] != count:
             reason = f"{counts[kind]} events of kind {kind}, stated {count}"
-            return Broken("counts", index + 1, reason)
+            return Violation("counts", index + 1, reason)
     return None
 
 
--- a/packages/saddledoor/src/saddledoor/_replay_check.py
+++ b/packages/saddledoor/src/saddledoor/_replay_check.py
@@ -11,7 +11,7 @@
 
 from ._labels import VersionRun
 from ._records import Record, decode_record
-from ._trace import Traced
+from ._trace import TracedEvent
 from .exceptions import UndecodableRecordError
 
 
@@ -27,7 +27,7 @@
     :param at_end: Returns what is missing at the end, or none.
     """
 
-    on_event: Callable[[Traced], str | None]
+    on_event: Callable[[TracedEvent], str | None]
     at_end: Callable[[], str | None] = lambda: None
 
 
--- a/packages/saddledoor/src/saddledoor/_replay_decided.py
+++ b/packages/saddledoor/src/saddledoor/_replay_decided.py
@@ -9,23 +9,23 @@
 from collections import Counter
 
 from ._claims import ClaimFold
-from ._config_fold import Accepted, ConfigFold, InForce
-from ._delivery import FetchRequest, Resync, Sample, SampleSpec, Slot, StepBook
+from ._config_fold import AcceptedConfig, ActiveConfig, ConfigFold
+from ._delivery import FetchRequest, Resync, Sample, SampleSpec, Slot, StepDelivery
 from ._replay_check import Check, as_record, as_runs
 from ._trace import (
+    CallRan,
     ClaimDecided,
-    Fetched,
-    Folded,
+    ConfigActivated,
+    ConfigReceived,
+    FetchAnswered,
     HandedOver,
-    HeardConfig,
-    Kept,
-    NodeBegan,
-    PutInForce,
-    Ran,
+    NodeStarted,
+    RecordFolded,
     SampleAdded,
+    SampleKept,
     StaleDropped,
     StepOpened,
-    Traced,
+    TracedEvent,
 )
 
 
@@ -43,12 +43,12 @@
     once_of: dict[str, str] = {}
     runs: Counter[str] = Counter()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case NodeBegan():
+            case NodeStarted():
                 for key in [k for k in folds if k[0] == traced.node]:
                     del folds[key]
-            case Folded(stream=stream) as event if stream.startswith("claims-"):
+            case RecordFolded(stream=stream) as event if stream.startswith("claims-"):
                 key = (traced.node, stream)
                 fold = folds.setdefault(key, ClaimFold(_REMEMBER, event.first))
                 fold.apply(event.offset, event.at, as_record(event.data))
@@ -59,7 +59,7 @@
                     return f"key {event.key} does not belong to claim {event.owner}"
             case HandedOver() as event:
                 once_of[event.request_id] = event.once
-            case Ran() as event:
+            case CallRan() as event:
                 once = once_of.get(event.request_id, "")
                 runs[once] += bool(once)
                 if runs[once] > 1:
@@ -73,14 +73,14 @@
     """
     Collectors answer as the library would; the trainer holds each slot once.
     """
-    books: dict[tuple[str, str, int], StepBook] = {}
+    books: dict[tuple[str, str, int], StepDelivery] = {}
     kept: set[tuple] = set()
     asked: set[tuple] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         event = traced.event
         match event:
-            case NodeBegan():
+            case NodeStarted():
                 for key in [k for k in books if k[0] == traced.node]:
                     del books[key]
             case StepOpened():
@@ -96,10 +96,10 @@
                 book = books.get((traced.node, event.trainer, event.step))
                 if book is not None:
                     book.drop_stale(event.version)
-            case Fetched():
+            case FetchAnswered():
                 book = books.get((traced.node, event.trainer, event.step))
                 return _compare_fetch(event, book)
-            case Kept():
+            case SampleKept():
                 slot = (event.trainer, event.step, event.slot)
                 if slot in kept:
                     return f"slot {event.slot} came a second time"
@@ -113,13 +113,13 @@
     return Check(on_event, at_end)
 
 
-def _open(event: StepOpened, before: StepBook | None) -> StepBook:
+def _open(event: StepOpened, before: StepDelivery | None) -> StepDelivery:
     specs = [SampleSpec(Slot(*slot), "", 0) for slot in event.slots]
     received = [Slot(*slot) for slot in event.received]
-    return StepBook.open(event.fence, event.bound, specs, received, before=before)
+    return StepDelivery.open(event.fence, event.bound, specs, received, before=before)
 
 
-def _compare_fetch(event: Fetched, book: StepBook | None) -> str | None:
+def _compare_fetch(event: FetchAnswered, book: StepDelivery | None) -> str | None:
     if book is None:
         return "a fetch was answered without a book"
     request = FetchRequest(event.fence, event.cursor, event.version, event.limit)
@@ -137,18 +137,18 @@
     What is in force follows from the log or a peer, and never goes back.
     """
     folds: dict[str, ConfigFold] = {}
-    in_force: dict[str, InForce] = {}
+    in_force: dict[str, ActiveConfig] = {}
     shown: dict[str, int] = {}
     accepted_somewhere: set[int] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         node, event = traced.node, traced.event
         match event:
-            case NodeBegan():
+            case NodeStarted():
                 folds.pop(node, None)
-                in_force[node] = InForce()
+                in_force[node] = ActiveConfig()
                 shown[node] = _ABSENT
-            case Folded(stream="config"):
+            case RecordFolded(stream="config"):
                 fold = folds.get(node) or ConfigFold.starting_at(event.first)
                 record = as_record(event.data)
                 folds[node] = fold.apply(event.offset, record) if record else fold
@@ -156,9 +156,9 @@
                 if accepted is not None:
                     accepted_somewhere.add(accepted.offset)
                     in_force[node] = in_force[node].offer(accepted)
-            case HeardConfig():
-                in_force[node] = in_force[node].offer(Accepted(event.offset, ""))
-            case PutInForce():
+            case ConfigReceived():
+                in_force[node] = in_force[node].offer(AcceptedConfig(event.offset, ""))
+            case ConfigActivated():
                 if event.offset <= shown[node]:
                     return f"went from {shown[node]} to {event.offset}"
                 if in_force[node].offset != event.offset:
--- a/packages/saddledoor/src/saddledoor/_replay_observed.py
+++ b/packages/saddledoor/src/saddledoor/_replay_observed.py
@@ -6,20 +6,20 @@
 
 from __future__ import annotations
 
-from ._labels import VersionRun, append_part, is_fresh, is_wholly_labelled
+from ._labels import VersionRun, append_part, is_fresh, is_fully_labelled
 from ._replay_check import Check, as_runs
 from ._trace import (
-    Ended,
-    Granted,
-    Kept,
-    NodeBegan,
-    Ran,
+    AnswerStreamed,
+    CallEnded,
+    CallRan,
+    LeavingSeen,
+    NodeStarted,
     RequestIn,
     RequestOut,
-    SawLeaving,
+    SampleKept,
+    SlotGranted,
     StageChanged,
-    Streamed,
-    Traced,
+    TracedEvent,
 )
 
 
@@ -41,15 +41,15 @@
     Labels follow from the parts, and are what the engine wrote into the tokens.
     """
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Streamed(runs=told) as event if told is not None:
+            case AnswerStreamed(runs=told) as event if told is not None:
                 runs: tuple[VersionRun, ...] = ()
                 for version, tokens in event.parts:
                     runs = append_part(runs, None if version < 0 else version, tokens)
                 if as_runs(told) != runs:
                     return f"label of {event.attempt_id} does not follow from its parts"
-            case Kept() as event:
+            case SampleKept() as event:
                 told = [v for v, a, b in event.runs for _ in range(a, b + 1)]
                 if told != list(event.made):
                     return f"slot {event.slot} is labelled {event.runs}, untruly"
@@ -65,11 +65,11 @@
     ran: set[str] = set()
     told: set[str] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Ran(request_id=attempt):
+            case CallRan(request_id=attempt):
                 ran.add(attempt.rpartition(".")[0])
-            case Ended(request_id=request, code=code) if 200 <= code < 300:
+            case CallEnded(request_id=request, code=code) if 200 <= code < 300:
                 told.add(request)
         for request in ran & told:
             return f"request {request} ran and was told as not run"
@@ -83,9 +83,9 @@
     Every sample kept is within the bound, by its oldest run.
     """
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Kept() as event:
+            case SampleKept() as event:
                 oldest = min(event.made, default=event.version)
                 fresh = is_fresh(as_runs(event.runs), event.version, event.bound)
                 if not fresh or oldest < event.version - event.bound:
@@ -100,14 +100,14 @@
     What is passed as whole has the length asked for.
     """
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Streamed(runs=runs) as event if runs is not None:
+            case AnswerStreamed(runs=runs) as event if runs is not None:
                 tokens = sum(count for _, count in event.parts)
                 if tokens != event.asked:
                     return f"{event.attempt_id}: {tokens} tokens of {event.asked}"
-            case Kept() as event:
-                whole = is_wholly_labelled(as_runs(event.runs), event.asked)
+            case SampleKept() as event:
+                whole = is_fully_labelled(as_runs(event.runs), event.asked)
                 if len(event.made) != event.asked or not whole:
                     return f"slot {event.slot}: {len(event.made)} of {event.asked}"
         return None
@@ -122,12 +122,12 @@
     known: dict[tuple[str, str], float] = {}
     first: dict[str, float] = {}
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case SawLeaving(backend=backend):
+            case LeavingSeen(backend=backend):
                 known.setdefault((traced.node, backend), traced.at)
                 first.setdefault(backend, traced.at)
-            case Granted(backend=backend):
+            case SlotGranted(backend=backend):
                 if (traced.node, backend) in known:
                     return f"gave new work to {backend}, which it knew to leave"
                 late = traced.at - first.get(backend, traced.at)
@@ -145,10 +145,10 @@
     open_requests: dict[str, set[int]] = {}
     told: set[str] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         node = traced.node
         match traced.event:
-            case NodeBegan():
+            case NodeStarted():
                 open_requests[node] = set()
             case RequestIn(number=number):
                 open_requests.setdefault(node, set()).add(number)
--- a/packages/saddledoor/src/saddledoor/_route_table.py
+++ b/packages/saddledoor/src/saddledoor/_route_table.py
@@ -62,7 +62,7 @@
     :param rank: 0 is the most urgent.
     :param resumable: Whether a broken stream may go on at another back end.
     :param single_version: Whether a sample must come from one weight version.
-    :param give_up_after: Age at which an item of a job may be given up, in seconds.
+    :param max_item_age: Age at which an item of a job may be given up, in seconds.
     :param needs_key: Whether a request needs the key of a workspace, where there are
         any.
     """
@@ -78,7 +78,7 @@
     rank: int = 0
     resumable: bool = False
     single_version: bool = False
-    give_up_after: float | None = None
+    max_item_age: float | None = None
     needs_key: bool = True
 
     def service(self, draw: float) -> str:
--- a/packages/saddledoor/src/saddledoor/_routing.py
+++ b/packages/saddledoor/src/saddledoor/_routing.py
@@ -13,10 +13,10 @@
 
 __all__ = [
     "Candidate",
-    "Choose",
+    "RoutingPolicy",
     "least_outstanding",
     "least_reported",
-    "own_order",
+    "least_outstanding_rendezvous",
     "rendezvous",
     "rendezvous_order",
     "round_robin",
@@ -43,10 +43,10 @@
     age: float = float("inf")
 
 
-Choose = Callable[[Sequence[Candidate]], Candidate]
+RoutingPolicy = Callable[[Sequence[Candidate]], Candidate]
 
 
-def uniform(random: Callable[[], float]) -> Choose:
+def uniform(random: Callable[[], float]) -> RoutingPolicy:
     """
     Return a policy that takes any candidate; a baseline.
 
@@ -59,7 +59,7 @@
     return choose
 
 
-def round_robin() -> Choose:
+def round_robin() -> RoutingPolicy:
     """
     Return a policy that takes candidates in turn; a baseline.
     """
@@ -73,7 +73,7 @@
     return choose
 
 
-def least_reported() -> Choose:
+def least_reported() -> RoutingPolicy:
     """
     Return a policy that trusts reports alone; a baseline that herds when they lag.
     """
@@ -84,7 +84,7 @@
     return choose
 
 
-def least_outstanding(random: Callable[[], float]) -> Choose:
+def least_outstanding(random: Callable[[], float]) -> RoutingPolicy:
     """
     Return a policy that takes the candidate with the least of this node's own work.
 
@@ -104,7 +104,7 @@
     return choose
 
 
-def own_order(node: str) -> Choose:
+def least_outstanding_rendezvous(node: str) -> RoutingPolicy:
     """
     Return a policy that takes the candidate with the least of this node's own work, and
     of those alike the one that comes first in an order of the node's own.
@@ -127,7 +127,7 @@
     return choose
 
 
-def two_choices(random: Callable[[], float], half_life: float = 1.0) -> Choose:
+def two_choices(random: Callable[[], float], half_life: float = 1.0) -> RoutingPolicy:
     """
     Return a policy that compares two random candidates; a baseline.
 
--- a/packages/saddledoor/src/saddledoor/_text_lengths.py
+++ b/packages/saddledoor/src/saddledoor/_text_lengths.py
@@ -11,7 +11,7 @@
 from statistics import median
 
 
-__all__ = ["TextLengths"]
+__all__ = ["TextLengthEstimator"]
 
 #: Share of the texts that count as long. A step ends with its longest text, and a
 #: trainer's guess is off by half its size at one deviation: of the texts of over four
@@ -27,7 +27,7 @@
 _OUTGROWN = 0.5
 
 
-class TextLengths:
+class TextLengthEstimator:
     """
     Remembers the latest texts of one model.
     """
@@ -58,7 +58,7 @@
             # Guesses are right at the median.
             self._tokens_per_event = median(self._ratios)
 
-    def left(self, expected_tokens: int, made: int) -> float:
+    def remaining_events(self, expected_tokens: int, made: int) -> float:
         """
         Return how many more events a text is expected to make.
 
--- a/packages/saddledoor/src/saddledoor/_trace.py
+++ b/packages/saddledoor/src/saddledoor/_trace.py
@@ -15,26 +15,26 @@
 
 __all__ = [
     "ClaimDecided",
-    "Ended",
+    "CallEnded",
     "Event",
-    "Fetched",
-    "Folded",
-    "Granted",
+    "FetchAnswered",
+    "RecordFolded",
+    "SlotGranted",
     "HandedOver",
-    "HeardConfig",
-    "Kept",
-    "NodeBegan",
-    "PutInForce",
-    "Ran",
+    "ConfigReceived",
+    "SampleKept",
+    "NodeStarted",
+    "ConfigActivated",
+    "CallRan",
     "RequestIn",
     "RequestOut",
     "SampleAdded",
-    "SawLeaving",
+    "LeavingSeen",
     "StageChanged",
     "StaleDropped",
     "StepOpened",
-    "Streamed",
-    "Traced",
+    "AnswerStreamed",
+    "TracedEvent",
 ]
 
 Run = tuple[int, int, int]
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class NodeBegan:
+class NodeStarted:
     """
     A daemon's process began; its memory is empty.
     """
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Folded:
+class RecordFolded:
     """
     A node read a record of the log.
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class HeardConfig:
+class ConfigReceived:
     """
     A peer passed on an accepted configuration.
     """
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True)
-class PutInForce:
+class ConfigActivated:
     """
     A node put a configuration in force.
     """
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class CallEnded:
     """
     A node told a call's final outcome.
 
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True)
-class Ran:
+class CallRan:
     """
     A service ran a call: its own word.
     """
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True)
-class Streamed:
+class AnswerStreamed:
     """
     A completion was put together from parts.
 
@@ -199,7 +199,7 @@
 
 
 @dataclass(frozen=True)
-class Fetched:
+class FetchAnswered:
     """
     A collector answered a fetch.
 
@@ -218,7 +218,7 @@
 
 
 @dataclass(frozen=True)
-class Kept:
+class SampleKept:
     """
     A trainer kept a sample: its own word.
 
@@ -239,7 +239,7 @@
 
 
 @dataclass(frozen=True)
-class SawLeaving:
+class LeavingSeen:
     """
     A node learned that a back end is leaving.
     """
@@ -249,7 +249,7 @@
 
 
 @dataclass(frozen=True)
-class Granted:
+class SlotGranted:
     """
     A node gave a back end new work.
     """
@@ -289,22 +289,22 @@
 
 
 Event = (
-    NodeBegan
-    | Folded
-    | HeardConfig
-    | PutInForce
+    NodeStarted
+    | RecordFolded
+    | ConfigReceived
+    | ConfigActivated
     | ClaimDecided
     | HandedOver
-    | Ended
-    | Ran
-    | Streamed
+    | CallEnded
+    | CallRan
+    | AnswerStreamed
     | StepOpened
     | SampleAdded
     | StaleDropped
-    | Fetched
-    | Kept
-    | SawLeaving
-    | Granted
+    | FetchAnswered
+    | SampleKept
+    | LeavingSeen
+    | SlotGranted
     | StageChanged
     | RequestIn
     | RequestOut
@@ -312,7 +312,7 @@
 
 
 @dataclass(frozen=True)
-class Traced:
+class TracedEvent:
     """
     An event, where it happened and when.
 
--- a/packages/saddledoor/src/saddledoor/_trace_file.py
+++ b/packages/saddledoor/src/saddledoor/_trace_file.py
@@ -10,23 +10,23 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from ._trace import Traced
+from ._trace import TracedEvent
 from .exceptions import InvalidDocumentError, Problem
 
 
 __all__ = ["encode_traced", "read_trace"]
 
-_ADAPTER = TypeAdapter(Traced)
+_ADAPTER = TypeAdapter(TracedEvent)
 
 
-def encode_traced(traced: Traced) -> str:
+def encode_traced(traced: TracedEvent) -> str:
     """
     Return a line of a trace file.
     """
     return _ADAPTER.dump_json(traced).decode()
 
 
-def read_trace(name: str, lines: Iterable[str]) -> list[Traced]:
+def read_trace(name: str, lines: Iterable[str]) -> list[TracedEvent]:
     """
     Read a trace.
 
--- a/packages/saddledoor/src/saddledoor/_usage.py
+++ b/packages/saddledoor/src/saddledoor/_usage.py
@@ -15,7 +15,7 @@
 from ._records import Record, UsageCounted, UsageDecided
 
 
-__all__ = ["TrueTime", "UsageBook", "UsageMeter", "UsageWindows"]
+__all__ = ["StableClock", "UsageFold", "UsageMeter", "UsageWindows"]
 
 #: How long a jump of the time of day must last to be believed, in seconds.
 _BELIEVED_AFTER = 30.0
@@ -49,26 +49,28 @@
         """
         return int(unix_time // self.length)
 
-    def last_counted(self, unix_time: float) -> int:
+    def last_closed(self, unix_time: float) -> int:
         """
         Return the newest window in which nothing more is to be counted.
         """
         return self.of(unix_time - _COUNTED_AFTER * self.due_after) - 1
 
-    def last_waited_for(self, unix_time: float) -> int:
+    def last_wait_expired(self, unix_time: float) -> int:
         """
         Return the newest window that is decided on whoever has not spoken.
         """
         return self.of(unix_time - _WAIT_UNTIL * self.due_after) - 1
 
-    def to_decide(self, unix_time: float, first_undecided: int | None) -> list[int]:
+    def windows_to_decide(
+        self, unix_time: float, first_undecided: int | None
+    ) -> list[int]:
         """
         Return the windows that may be decided on now, oldest first.
 
         :param first_undecided: Oldest window that the log tells of and that is not
             decided; none if it tells of none.
         """
-        newest = self.last_counted(unix_time)
+        newest = self.last_closed(unix_time)
         first = first_undecided
         if first is None:
             first = self.first_in_time(unix_time)
@@ -80,7 +82,9 @@
         """
         return self.of(unix_time - self.due_after)
 
-    def to_repeat(self, unix_time: float, last_decided: int | None) -> list[int]:
+    def windows_to_resend(
+        self, unix_time: float, last_decided: int | None
+    ) -> list[int]:
         """
         Return the windows whose reports a new holder sends again, oldest first: the one
         before may have got no answer. Late reports too, for as long again as they had.
@@ -89,9 +93,9 @@
         """
         if last_decided is None:
             return []
-        return list(range(self.first_to_repeat(unix_time), last_decided + 1))
+        return list(range(self.first_to_resend(unix_time), last_decided + 1))
 
-    def first_to_repeat(self, unix_time: float) -> int:
+    def first_to_resend(self, unix_time: float) -> int:
         """
         Return the first window whose report is worth sending again.
         """
@@ -99,7 +103,7 @@
 
 
 @dataclass
-class UsageBook:
+class UsageFold:
     """
     Counts and decisions, folded from the log.
     """
@@ -150,7 +154,7 @@
             total[workspace] = total.get(workspace, 0) + count
         return total
 
-    def is_whole(self, window: int) -> bool:
+    def is_complete(self, window: int) -> bool:
         """
         Return whether every process has counted a window that had counted one of the
         few before; not if nothing is known of those.
@@ -224,7 +228,7 @@
             for window in sorted(changed.keys() | whole)
         ]
 
-    def give_back(self, records: list[UsageCounted]) -> None:
+    def requeue(self, records: list[UsageCounted]) -> None:
         """
         Have records taken again that may not have reached the log.
         """
@@ -236,7 +240,7 @@
                 names.update(record.counts)
 
 
-class TrueTime:
+class StableClock:
     """
     The time of day from a monotonic clock, so that a jump of the VM's clock which is
     taken back moves nothing.
--- a/packages/saddledoor/src/saddledoor/_weight_waves.py
+++ b/packages/saddledoor/src/saddledoor/_weight_loads.py
@@ -11,7 +11,12 @@
 from dataclasses import dataclass
 
 
-__all__ = ["ModelWeights", "engines_at_once", "followers", "wanted_loads"]
+__all__ = [
+    "ModelWeights",
+    "max_concurrent_loads",
+    "following_engines",
+    "plan_weight_loads",
+]
 
 #: Share of the engines that follow a new version at once. The others keep serving the
 #: steps that still allow theirs, and follow with the next version.
@@ -41,14 +46,14 @@
     versions: Mapping[str, int]
 
 
-def engines_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """
     Return how many of a pool's engines may load weights at the same time, a count.
     """
     return max(1, math.floor(engines * _AT_ONCE))
 
 
-def followers(weights: ModelWeights) -> list[str]:
+def following_engines(weights: ModelWeights) -> list[str]:
     """
     Return the engines that follow a model's versions.
 
@@ -68,7 +73,7 @@
     return sorted(ring, key=lambda name: -weights.versions[name])[:count]
 
 
-def wanted_loads(pool: Sequence[ModelWeights]) -> list[tuple[str, str]]:
+def plan_weight_loads(pool: Sequence[ModelWeights]) -> list[tuple[str, str]]:
     """
     Return the loads that a pool needs, as engines and models, the most urgent first.
 
@@ -79,7 +84,9 @@
     """
     waiting = {weights.model: _engines_to_update(weights) for weights in pool}
     serving = {
-        w.model: sum(w.versions[name] >= w.oldest_allowed for name in followers(w))
+        w.model: sum(
+            w.versions[name] >= w.oldest_allowed for name in following_engines(w)
+        )
         for w in pool
     }
     order = [w.model for w in pool]
@@ -98,7 +105,7 @@
     Those too old for the jobs at hand come first, since they can do nothing. Beyond
     them only as many as bring half of the engines to the newest version.
     """
-    versions = {name: weights.versions[name] for name in followers(weights)}
+    versions = {name: weights.versions[name] for name in following_engines(weights)}
     behind = sorted(
         (version, name) for name, version in versions.items() if version < weights.named
     )
--- a/packages/saddledoor/src/saddledoor/_workspaces.py
+++ b/packages/saddledoor/src/saddledoor/_workspaces.py
@@ -13,7 +13,7 @@
 from ._codes import NotRun, ResultCode
 
 
-__all__ = ["Admitted", "KeyBounds", "Workspace", "WorkspaceTable", "admit"]
+__all__ = ["Admitted", "KeyFreshnessBounds", "Workspace", "WorkspaceTable", "admit"]
 
 #: When a caller should ask elsewhere whose key this VM cannot judge, in seconds.
 _COME_BACK = 0.1
@@ -88,18 +88,19 @@
 
 
 @dataclass(frozen=True)
-class KeyBounds:
+class KeyFreshnessBounds:
     """
     How old what a VM knows of keys may be.
 
-    :param known_within: Every VM that the store reaches knows a key this long after it
-        was put in force, in seconds.
-    :param gone_within: No request that is sent later than this after its key was taken
-        away may run, in seconds; none if only VMs that the store reaches have to know.
+    :param propagation_limit: Every VM that the store reaches knows a key this long
+        after it was put in force, in seconds.
+    :param revocation_limit: No request that is sent later than this after its key was
+        taken away may run, in seconds; none if only VMs that the store reaches have to
+        know.
     """
 
-    known_within: float
-    gone_within: float | None = None
+    propagation_limit: float
+    revocation_limit: float | None = None
 
 
 @dataclass(frozen=True)
@@ -119,7 +120,7 @@
     needs_key: bool,
     key: str,
     age: float,
-    bounds: KeyBounds,
+    bounds: KeyFreshnessBounds,
 ) -> Admitted | NotRun:
     """
     Decide on a request by its key.
@@ -140,10 +141,10 @@
     if not key:
         return NotRun(ResultCode.UNAUTHENTICATED, "a key is needed", 0.0)
     if workspace is None:
-        if age > bounds.known_within:
+        if age > bounds.propagation_limit:
             return _unsure(f"a key not known here, where news is {age:.1f} s old")
         return NotRun(ResultCode.UNAUTHENTICATED, "the key is not known", 0.0)
-    if bounds.gone_within is not None and age > bounds.gone_within:
+    if bounds.revocation_limit is not None and age > bounds.revocation_limit:
         return _unsure(f"a key last known to be in force {age:.1f} s ago")
     return Admitted(workspace.name)
 
--- a/packages/saddledoorctl/src/saddledoorctl/_html.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_html.py
@@ -12,7 +12,7 @@
 
 import click
 
-from saddledoor import BurnRow, Hole
+from saddledoor import BurnRow, CountingGap
 
 
 __all__ = ["render_html"]
@@ -25,7 +25,9 @@
 )
 
 
-def render_html(deployment: str, rows: Sequence[BurnRow], holes: Sequence[Hole]) -> str:
+def render_html(
+    deployment: str, rows: Sequence[BurnRow], holes: Sequence[CountingGap]
+) -> str:
     """
     Return the page.
 
--- a/packages/saddledoorctl/src/saddledoorctl/_replay.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_replay.py
@@ -13,9 +13,9 @@
 import click
 from pydantic import TypeAdapter, ValidationError
 
-from saddledoor import problems_of
+from saddledoor import validation_problems
 from saddledoor.exceptions import InvalidDocumentError, Problem
-from saddledoor.tracing import CHECKS, Broken, Outcomes, read_trace, replay
+from saddledoor.tracing import CHECKS, ExpectedOutcomes, Violation, read_trace, replay
 
 
 __all__ = ["load_outcomes", "replay_command", "replay_file"]
@@ -23,10 +23,10 @@
 EXIT_BROKEN = 1
 EXIT_USAGE = 2
 
-_OUTCOMES = TypeAdapter(Outcomes)
+_OUTCOMES = TypeAdapter(ExpectedOutcomes)
 
 
-def load_outcomes(trace: Path) -> Outcomes:
+def load_outcomes(trace: Path) -> ExpectedOutcomes:
     """
     Read the outcomes stated beside a trace.
 
@@ -38,7 +38,7 @@
     except OSError as error:
         raise _unusable(path, error.strerror or "an error") from None
     except ValidationError as error:
-        raise InvalidDocumentError(str(path), problems_of(error)) from None
+        raise InvalidDocumentError(str(path), validation_problems(error)) from None
     unknown = [name for name in outcomes.promises if name not in CHECKS]
     if unknown:
         problem = Problem("promises", repr(unknown), f"some of {list(CHECKS)}")
@@ -46,7 +46,7 @@
     return outcomes
 
 
-def replay_file(path: Path) -> Broken | None:
+def replay_file(path: Path) -> Violation | None:
     """
     Replay a trace against its stated outcomes.
 
--- a/packages/saddledoorctl/src/saddledoorctl/_report.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_report.py
@@ -19,11 +19,11 @@
 from saddledoor import (
     BurnRow,
     BurnTotals,
+    CountingGap,
     Deployment,
-    Hole,
     burn_rows,
     deployment_from_json,
-    find_holes,
+    find_counting_gaps,
     unpack_document,
 )
 
@@ -50,7 +50,7 @@
     deployment: str
     at: float
     rows: tuple[BurnRow, ...]
-    holes: tuple[Hole, ...]
+    holes: tuple[CountingGap, ...]
 
 
 @click.group()
@@ -155,7 +155,7 @@
         for window in windows
         for row in burn_rows(deployment.objectives, records, window, now)
     ]
-    holes = find_holes(records, now)
+    holes = find_counting_gaps(records, now)
     return BurnReport(deployment.name, now, tuple(rows), tuple(holes))
 
 
--- a/packages/saddledoord/src/saddledoord/_clock.py
+++ b/packages/saddledoord/src/saddledoord/_clock.py
@@ -31,7 +31,7 @@
     By the usual loop's clock what was to end 1 s after a VM was suspended would end 1 s
     after it goes on. The system's own wait does not count suspension either, so a timer
     that is due fires at the first event after it, at the latest when the heartbeat of
-    `Standstills` comes.
+    `ProcessPauses` comes.
     """
 
     def time(self) -> float:
--- a/packages/saddledoord/src/saddledoord/_daemon.py
+++ b/packages/saddledoord/src/saddledoord/_daemon.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from saddledoor.tracing import NodeBegan, StageChanged
+from saddledoor.tracing import NodeStarted, StageChanged
 
 from ._clock import boot_time
 from ._parts import Parts, build_parts
@@ -21,8 +21,8 @@
 from ._state import NodeState
 from .http.server import HttpServer, listen, server_config
 from .peers.server import start_peer_server
+from .process_pauses import ShutdownPoll
 from .samples.collector import collector_lease
-from .standstills import Looks
 
 
 __all__ = ["Daemon"]
@@ -58,7 +58,7 @@
         :raises OSError: If an address cannot be had.
         """
         self._handle_signals()
-        self._state.trace(NodeBegan())
+        self._state.trace(NodeStarted())
         settings = self._settings
         parts = build_parts(settings, self._state, self._spawn)
         peer_server = await start_peer_server(
@@ -114,13 +114,13 @@
             return
         # A loop that died would leave the VM half alive: end it, its peers go on.
         _log.error("task_failed", exc_info=task.exception())
-        self._state.drain.tell(boot_time())
+        self._state.drain.request_stop(boot_time())
         self._told.set()
 
     def _handle_signals(self) -> None:
         def signalled() -> None:
-            self._state.drain.tell(boot_time())
-            if self._state.drain.told_again:
+            self._state.drain.request_stop(boot_time())
+            if self._state.drain.stop_requested_twice:
                 self._told_again.set()
             self._told.set()
 
@@ -155,9 +155,11 @@
         await keeper.until_taken(handed_over, _TAKEOVER_WAIT)
         drain.handed_over = True
         # Whoever came meanwhile gets its answer too.
-        looks = Looks()
+        looks = ShutdownPoll()
         await asyncio.sleep(_DRAIN_STEP)
-        while not (looks.is_on_time() and drain.may_stop(boot_time(), in_flight.count)):
+        while not (
+            looks.polled_recently() and drain.may_stop(boot_time(), in_flight.count)
+        ):
             await asyncio.sleep(_DRAIN_STEP)
 
     def _successor(self) -> str | None:
--- a/packages/saddledoord/src/saddledoord/_parts.py
+++ b/packages/saddledoord/src/saddledoord/_parts.py
@@ -152,7 +152,7 @@
 ) -> None:
     metrics.gauge(
         "saddledoor_config_offset",
-        lambda: state.in_force.offset,
+        lambda: state.active_config.offset,
         "Offset of the configuration in force",
     )
     metrics.gauge("saddledoor_in_flight", lambda: in_flight.count, "Requests in flight")
--- a/packages/saddledoord/src/saddledoord/_pipeline.py
+++ b/packages/saddledoord/src/saddledoord/_pipeline.py
@@ -24,7 +24,7 @@
     ResultCode,
     WorkClass,
 )
-from saddledoor.tracing import Ended
+from saddledoor.tracing import CallEnded
 
 from ._clock import boot_time
 from ._state import NodeState
@@ -38,7 +38,7 @@
 from .filters.identify import Caller, identify
 from .log.claims import ClaimLog
 from .observability.daemon_metrics import Metrics
-from .peers.client import PeerAwayError, PeerClient
+from .peers.client import PeerClient, PeerUnavailableError
 from .peers.wire_types import call_from_wire, call_to_wire
 from .wire import peer_pb2 as pb
 
@@ -130,7 +130,7 @@
         result = await self._call(job, request)
         done = isinstance(result, CallAnswer)
         code = ResultCode.DONE if done else result.code
-        self._state.trace(Ended(job.request_id, code))
+        self._state.trace(CallEnded(job.request_id, code))
         return result
 
     async def _call(
@@ -138,7 +138,7 @@
     ) -> CallAnswer | NotRun | OutcomeUnknown:
         if not (job.unrepeatable and job.key):
             return await self._attempt(job)
-        if IssuedKeys.decider(job.key) is not None:
+        if IssuedKeys.issuer(job.key) is not None:
             return await self._call_by_issued_key(job, request)
         return await claimed_call(
             job,
@@ -162,7 +162,7 @@
         Run a call under a key that this VM issued, for a peer or for itself.
         """
         ledger_name = f"{work.partner}/{work.service}/{work.key}"
-        if not self._issued.take(work.key, work.partner):
+        if not self._issued.consume(work.key, work.partner):
             known = await self._ledger.outcome(ledger_name, work.timeout_s)
             return known or OutcomeUnknown(
                 ResultCode.KEY_SPENT, "the key was not issued here, or was used"
@@ -176,7 +176,7 @@
         finally:
             future.set_result(result)
         if isinstance(result, NotRun):
-            self._issued.give_back(work.key)
+            self._issued.restore(work.key)
         return result
 
     def _classify_completion(
@@ -237,26 +237,26 @@
         self, job: ServiceJob, request: ServiceRequest
     ) -> CallAnswer | NotRun | OutcomeUnknown:
         work = call_to_wire(job)
-        decider = IssuedKeys.decider(job.key)
-        if decider == self._state.owner.encode().hex():
+        issuer = IssuedKeys.issuer(job.key)
+        if issuer == self._state.owner.encode().hex():
             return await self.run_issued(work)
         spent = OutcomeUnknown(
             ResultCode.KEY_SPENT, "the key's VM is not there any more"
         )
-        address = self._known_peer(decider)
+        address = self._known_peer(issuer)
         if address is None:
             return spent
         try:
             return await self._peers.call(address, work, work.timeout_s + 1) or spent
-        except PeerAwayError as error:
-            # Asking again with the same key is safe: the decider's memory judges it.
+        except PeerUnavailableError as error:
+            # Asking again with the same key is safe: the issuer's memory judges it.
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, str(error))
 
-    def _known_peer(self, decider: str) -> str | None:
+    def _known_peer(self, issuer: str) -> str | None:
         # The key came from a caller: never connect to an address just because it
         # stands in there.
         try:
-            address = bytes.fromhex(decider).decode().partition("@")[2]
+            address = bytes.fromhex(issuer).decode().partition("@")[2]
         except ValueError:
             return None
         known = {m.grpc_outside for m in self._state.members.all_entries()}
--- a/packages/saddledoord/src/saddledoord/_settings.py
+++ b/packages/saddledoord/src/saddledoord/_settings.py
@@ -12,7 +12,7 @@
 from pydantic import ConfigDict, Field, TypeAdapter, ValidationError
 from pydantic.dataclasses import dataclass
 
-from saddledoor import problems_of
+from saddledoor import validation_problems
 from saddledoor.checked_yaml import load_checked
 from saddledoor.exceptions import InvalidDocumentError, Problem
 
@@ -126,4 +126,4 @@
     try:
         return _ADAPTER.validate_json(_JSON.dump_json(document))
     except ValidationError as error:
-        raise InvalidDocumentError(name, problems_of(error)) from None
+        raise InvalidDocumentError(name, validation_problems(error)) from None
--- a/packages/saddledoord/src/saddledoord/_state.py
+++ b/packages/saddledoord/src/saddledoord/_state.py
@@ -13,11 +13,11 @@
 import structlog
 
 from saddledoor import (
-    Accepted,
+    AcceptedConfig,
+    ActiveConfig,
     ConfigFold,
     Deployment,
     Drain,
-    InForce,
     LeaseFold,
     LeaseWatch,
     MemberEntry,
@@ -28,7 +28,7 @@
     unpack_document,
 )
 from saddledoor.exceptions import InvalidDocumentError, UndecodableRecordError
-from saddledoor.tracing import PutInForce, SawLeaving
+from saddledoor.tracing import ConfigActivated, LeavingSeen
 
 from ._clock import boot_time
 from ._settings import Settings
@@ -76,7 +76,7 @@
     members: MemberTable
     config_fold: ConfigFold | None = None
     lease_fold: LeaseFold = field(default_factory=LeaseFold)
-    in_force: InForce = field(default_factory=InForce)
+    active_config: ActiveConfig = field(default_factory=ActiveConfig)
     deployment: Deployment | None = None
     drain: Drain = field(default_factory=lambda: Drain(0.0, 0.0))
     log: LogHealth = field(default_factory=LogHealth)
@@ -113,22 +113,22 @@
         name = incarnation.replace(".", "_")
         return cls(settings, name, started, members, drain=drain, trace=trace)
 
-    def offer_config(self, accepted: Accepted | None) -> None:
+    def offer_config(self, accepted: AcceptedConfig | None) -> None:
         """
         Put an accepted configuration in force if it is newer and usable.
         """
-        if accepted is None or accepted.offset <= self.in_force.offset:
+        if accepted is None or accepted.offset <= self.active_config.offset:
             return
         deployment, reason = self._read(accepted)
-        before = self.in_force
-        self.in_force = before.offer(accepted, usable=deployment is not None)
-        if self.in_force is before:
+        before = self.active_config
+        self.active_config = before.offer(accepted, usable=deployment is not None)
+        if self.active_config is before:
             return
         if deployment is None:
             _log.error("config_unusable", offset=accepted.offset, reason=reason)
             return
         self.deployment = deployment
-        self.trace(PutInForce(accepted.offset))
+        self.trace(ConfigActivated(accepted.offset))
         self.note_leaving()
         _log.info("config_in_force", offset=accepted.offset)
 
@@ -140,10 +140,10 @@
         for pool in self.deployment.pools if self.deployment else ():
             leaving |= {e.name for e in pool.engines if e.state == "leaving"}
         for name in sorted(leaving - self._leaving):
-            self.trace(SawLeaving(name))
+            self.trace(LeavingSeen(name))
         self._leaving |= leaving
 
-    def _read(self, accepted: Accepted) -> tuple[Deployment | None, str]:
+    def _read(self, accepted: AcceptedConfig) -> tuple[Deployment | None, str]:
         try:
             deployment = deployment_from_json(unpack_document(accepted.document))
         except (InvalidDocumentError, UndecodableRecordError) as error:
--- a/packages/saddledoord/src/saddledoord/backends/control.py
+++ b/packages/saddledoord/src/saddledoord/backends/control.py
@@ -26,7 +26,7 @@
 
 from .._clock import boot_time
 from .._state import NodeState
-from ..log.client import LogAwayError, LogClient
+from ..log.client import LogClient, LogUnavailableError
 from ..log.follower import CONFIG_STREAM
 from ..log.leases import LeaseKeeper
 from ..observability.daemon_metrics import Metrics
@@ -105,7 +105,7 @@
                 await self._act(held)
 
     async def _try_take(self, name: str) -> HeldLease | None:
-        if not self._keeper.may_take(name):
+        if not self._keeper.may_claim(name):
             self._free_since = None
             return None
         now = boot_time()
@@ -138,7 +138,7 @@
         try:
             await self._log.append(CONFIG_STREAM, [snapshot])
             self._snapshot_at = boot_time()
-        except LogAwayError:
+        except LogUnavailableError:
             pass
 
     def _target(self, model: str, version: int | str) -> int | None:
--- a/packages/saddledoord/src/saddledoord/backends/dispatch.py
+++ b/packages/saddledoord/src/saddledoord/backends/dispatch.py
@@ -14,22 +14,22 @@
 
 from saddledoor import (
     BackendReport,
+    BackendRequirement,
     Candidate,
-    Choose,
     Engine,
     FairQueue,
     Instance,
-    Need,
     NotRun,
     ResultCode,
+    RoutingPolicy,
     WorkClass,
+    is_eligible,
     least_outstanding,
-    may_use,
     round_robin,
     two_choices,
     uniform,
 )
-from saddledoor.tracing import Granted
+from saddledoor.tracing import SlotGranted
 
 from .._clock import boot_time
 from .._state import NodeState
@@ -42,7 +42,7 @@
 _REVIEW = 0.05
 
 
-_NO_NEED = Need()
+_NO_NEED = BackendRequirement()
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
     weight: float
     cost: float
     deadline: float
-    need: Need = _NO_NEED
+    requirement: BackendRequirement = _NO_NEED
     avoid: frozenset[str] = frozenset()
     local_only: bool = False
 
@@ -91,7 +91,7 @@
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
-        self._policies: dict[str, Choose] = {
+        self._policies: dict[str, RoutingPolicy] = {
             "least_outstanding": least_outstanding(random.random),
             "two_choices": two_choices(random.random),
             "round_robin": round_robin(),
@@ -214,7 +214,7 @@
 
     def _grant(self, member: Engine | Instance, target: str) -> Grant:
         self._own[member.name] = self.in_flight(member.name) + 1
-        self._state.trace(Granted(member.name))
+        self._state.trace(SlotGranted(member.name))
         released = False
 
         def release() -> None:
@@ -273,7 +273,7 @@
         if member.name in wanted.avoid:
             return False
         failed_at = self._failed_at.get(member.name, -math.inf)
-        return may_use(member.state, report, wanted.need, now, failed_at)
+        return is_eligible(member.state, report, wanted.requirement, now, failed_at)
 
     def _candidate(
         self, member: Engine | Instance, report: BackendReport | None, now: float
--- a/packages/saddledoord/src/saddledoord/cluster/changes.py
+++ b/packages/saddledoord/src/saddledoord/cluster/change_notifier.py
@@ -9,16 +9,16 @@
 import asyncio
 
 
-__all__ = ["Changes"]
+__all__ = ["ChangeNotifier"]
 
 
-class Changes:
+class ChangeNotifier:
     """
     One event per key, replaced each time it is set.
     """
 
     @property
-    def awaited(self) -> bool:
+    def has_waiters(self) -> bool:
         """
         Whether somebody waits for news of any key.
         """
--- a/packages/saddledoord/src/saddledoord/cluster/lives.py
+++ b/packages/saddledoord/src/saddledoord/cluster/engine_timeouts.py
@@ -15,10 +15,10 @@
 from .view import ClusterView
 
 
-__all__ = ["EngineLives"]
+__all__ = ["EngineTimeouts"]
 
 
-class EngineLives:
+class EngineTimeouts:
     """
     Limits of the time that work at an engine may take, ended with the engine's life.
 
@@ -29,7 +29,7 @@
 
     def __init__(self, view: ClusterView) -> None:
         self._view = view
-        self._limits = view.memory.table(set, _expire)
+        self._limits = view.engine_tables.table(set, _expire)
 
     @asynccontextmanager
     async def within(
@@ -49,11 +49,11 @@
             finally:
                 limits.discard(limit)
 
-    def is_over(self, incarnation: Incarnation) -> bool:
+    def has_restarted(self, incarnation: Incarnation) -> bool:
         """
         Return whether an engine has started again since.
         """
-        return self._view.is_over(incarnation)
+        return self._view.has_restarted(incarnation)
 
 
 def _expire(limits: set[asyncio.Timeout]) -> None:
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -16,16 +16,16 @@
 
 from .._clock import boot_time
 from ..ports import (
-    LARGEST_PAGE,
-    USUAL_PATIENCE,
+    DEFAULT_ANSWER_TIMEOUT,
+    MAX_PAGE_BYTES,
     KeyedEntry,
     KeyedPage,
-    LogGoneError,
     LogPage,
+    LogTruncatedError,
     Registry,
     SharedLog,
-    StoreAwayError,
-    Unusable,
+    StoreUnavailableError,
+    UnusableValue,
 )
 
 
@@ -64,7 +64,7 @@
         self._reached = True
 
     @property
-    def reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         return self._reached
 
     def answered(self) -> None:
@@ -99,8 +99,8 @@
         `UndecodableRecordError` for one that it cannot read.
     :param reachable: Told when the store is lost (false) and regained (true).
     :param wait: How long a read waits at the store for news, in seconds.
-    :param patience: Longest wait for an answer beyond that, in seconds.
-    :param gather: Returns the pause after news, in seconds, for more to come.
+    :param answer_timeout: Longest wait for an answer beyond that, in seconds.
+    :param batch_delay: Returns the pause after news, in seconds, for more to come.
     """
 
     def __init__(
@@ -110,18 +110,18 @@
         apply: Callable[[int, bytes], None],
         reachable: Callable[[bool], None] = _ignore,
         wait: float = _WAIT,
-        patience: float = USUAL_PATIENCE,
-        gather: Callable[[], float] = _at_once,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
+        batch_delay: Callable[[], float] = _at_once,
     ) -> None:
         self._wait = wait
-        self._gather = gather
-        self._patience = patience
+        self._gather = batch_delay
+        self._patience = answer_timeout
         self._log = log
         self._stream = stream
         self._apply = apply
         self._next = 0
         self._skipped = 0
-        self._page_size = PageSize(LARGEST_PAGE)
+        self._page_size = PageSize(MAX_PAGE_BYTES)
         self._reach = _Reachable(stream, reachable)
         self._caught_up = asyncio.Event()
         self._began = boot_time()
@@ -130,11 +130,11 @@
         self._asked_at = float("-inf")
 
     @property
-    def reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """
         Whether the store answered the last read.
         """
-        return self._reach.reached
+        return self._reach.is_store_reachable
 
     @property
     def skipped(self) -> int:
@@ -144,7 +144,7 @@
         return self._skipped
 
     @property
-    def confirmed_at(self) -> float:
+    def synced_at(self) -> float:
         """
         When everything in the log was known, monotonic, in seconds.
         """
@@ -173,7 +173,7 @@
             began = boot_time()
             try:
                 page = await self._read_on()
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 self._reach.failed(str(error))
                 await asyncio.sleep(_PAUSE)
                 continue
@@ -199,7 +199,7 @@
                 try:
                     began = boot_time()
                     self._take(await self._read(0.0, self._patience), began)
-                except StoreAwayError:
+                except StoreUnavailableError:
                     return False
         return True
 
@@ -217,15 +217,15 @@
     async def _read_on(self) -> LogPage:
         if not self.caught_up:
             return await self._read(0.0, _PATIENCE_REPLAY)
-        if not self.reached:
+        if not self.is_store_reachable:
             return await self._read(0.0, _PATIENCE_LOST)
         return await self._read(self._wait, self._patience)
 
-    async def _read(self, wait: float, patience: float) -> LogPage:
+    async def _read(self, wait: float, answer_timeout: float) -> LogPage:
         began = boot_time()
         try:
-            page = await self._page(wait, patience)
-        except StoreAwayError:
+            page = await self._page(wait, answer_timeout)
+        except StoreUnavailableError:
             self._page_size.failed()
             raise
         finally:
@@ -233,11 +233,13 @@
         self._page_size.answered()
         return page
 
-    async def _page(self, wait: float, patience: float) -> LogPage:
+    async def _page(self, wait: float, answer_timeout: float) -> LogPage:
         size = self._page_size.current
         try:
-            return await self._log.read(self._stream, self._next, wait, size, patience)
-        except LogGoneError as error:
+            return await self._log.read(
+                self._stream, self._next, wait, size, answer_timeout
+            )
+        except LogTruncatedError as error:
             _log.warning("records_gone", stream=self._stream, first=error.first)
             # Another read may have gone on meanwhile.
             self._next = max(self._next, error.first)
@@ -307,7 +309,7 @@
         self._reach = _Reachable(name, reachable)
 
     @property
-    def confirmed_at(self) -> float:
+    def synced_at(self) -> float:
         """
         When every change there was had been applied, monotonic, in seconds.
         """
@@ -335,7 +337,7 @@
             began = boot_time()
             try:
                 page = await self._page()
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 self._reach.failed(str(error))
                 # Entries may lapse while nobody can read: look at all of them after.
                 self._next = None
@@ -353,7 +355,7 @@
             return await self._registry.newest()
         try:
             return await self._registry.changes(self._next, _WAIT)
-        except LogGoneError as error:
+        except LogTruncatedError as error:
             _log.warning("records_gone", reading=self._name, first=error.first)
             return await self._registry.newest()
 
@@ -363,7 +365,7 @@
             # Pages of the newest values are no snapshot: they may run ahead.
             if entry.offset > self._offsets.get(entry.key, -1):
                 self._offsets[entry.key] = entry.offset
-                self._skipped += isinstance(entry.value, Unusable)
+                self._skipped += isinstance(entry.value, UnusableValue)
                 self._apply(entry)
         if page.whole:
             self._known = True
--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -21,8 +21,8 @@
 )
 
 from .._clock import boot_time
-from ..ports import Appended, NotAppended, SharedLog, UnknownAppend
-from .changes import Changes
+from ..ports import Appended, AppendOutcomeUnknown, NotAppended, SharedLog
+from .change_notifier import ChangeNotifier
 from .follow import LogFollower
 
 
@@ -57,7 +57,7 @@
         self._fold = LeaseFold()
         self._watches: dict[str, LeaseWatch] = {}
         self._regained_at = float("-inf")
-        self._changes = Changes()
+        self._changes = ChangeNotifier()
         self._other: Callable[[object], None] = lambda record: None
         self._follower = LogFollower(
             log, CONTROL_STREAM, self._apply, self._store_reached, _WAIT, _PATIENCE
@@ -71,11 +71,11 @@
         return self._follower.caught_up
 
     @property
-    def reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """
         Whether the store answered the last read of the leases.
         """
-        return self._follower.reached
+        return self._follower.is_store_reachable
 
     @property
     def skipped(self) -> int:
@@ -142,7 +142,7 @@
         """
         return sorted(name for name in self._fold.leases if self.is_mine(name))
 
-    def may_take(self, name: str, term: float) -> bool:
+    def may_claim(self, name: str, term: float) -> bool:
         """
         Whether a claim may be appended now.
 
@@ -159,7 +159,7 @@
         if machine == self._machine:
             return lease.holder != self._holder
         watch = self._watches.setdefault(name, LeaseWatch(term))
-        return watch.may_take(lease, boot_time())
+        return watch.may_claim(lease, boot_time())
 
     async def claim(self, name: str) -> Lease | None:
         """
@@ -167,7 +167,7 @@
         """
         seen = self.get(name)
         claim = LeaseClaim(
-            secrets.token_hex(8), name, self._holder, seen.last if seen else -1
+            secrets.token_hex(8), name, self._holder, seen.last_offset if seen else -1
         )
         await self._append([claim])
         # Whatever became of the append, only the log tells whether the claim stands.
@@ -189,7 +189,7 @@
             return False
         now = [self._fold.leases[lease.name] for lease in held]
         return all(
-            lease.fence == before.fence and lease.last >= outcome.offset
+            lease.fence == before.fence and lease.last_offset >= outcome.offset
             for before, lease in zip(held, now, strict=True)
         )
 
@@ -202,7 +202,7 @@
 
     async def _append(
         self, records: Sequence[LeaseClaim | LeaseRenewal | LeaseRelease]
-    ) -> Appended | NotAppended | UnknownAppend:
+    ) -> Appended | NotAppended | AppendOutcomeUnknown:
         data = [encode_record(record).encode() for record in records]
         return await self._log.append(CONTROL_STREAM, data, _PATIENCE)
 
--- a/packages/saddledoord/src/saddledoord/cluster/store_watch.py
+++ b/packages/saddledoord/src/saddledoord/cluster/store_watch.py
@@ -19,16 +19,16 @@
 
 from .._clock import boot_time
 from ..ports import (
-    LARGEST_PAGE,
-    USUAL_PATIENCE,
+    DEFAULT_ANSWER_TIMEOUT,
+    MAX_PAGE_BYTES,
     Appended,
+    AppendOutcomeUnknown,
     KeyedPage,
     LogPage,
     NotAppended,
     Registry,
     SharedLog,
-    StoreAwayError,
-    UnknownAppend,
+    StoreUnavailableError,
 )
 
 
@@ -83,7 +83,7 @@
         Make a call and return its answer.
 
         :param wait: How long the store itself may wait with its answer, in seconds.
-        :raises StoreAwayError: Whatever the call raises, and if it was given up.
+        :raises StoreUnavailableError: Whatever the call raises, and if it was given up.
         """
         asked = _Call(asyncio.ensure_future(call), boot_time() + wait)
         self._calls.add(asked)
@@ -92,7 +92,9 @@
         except asyncio.CancelledError:
             ending = asyncio.current_task().cancelling()
             if asked.given_up and not ending:
-                raise StoreAwayError("silent while other calls are answered") from None
+                raise StoreUnavailableError(
+                    "silent while other calls are answered"
+                ) from None
             raise
         finally:
             self._calls.discard(asked)
@@ -122,15 +124,17 @@
         self._watch = watch
 
     async def append(
-        self, stream: str, records: Sequence[bytes], patience: float = 1.5
-    ) -> Appended | NotAppended | UnknownAppend:
+        self, stream: str, records: Sequence[bytes], answer_timeout: float = 1.5
+    ) -> Appended | NotAppended | AppendOutcomeUnknown:
         """
         As `SharedLog.append`.
         """
         try:
-            outcome = await self._watch.ask(self._log.append(stream, records, patience))
-        except StoreAwayError as error:
-            return UnknownAppend(str(error))
+            outcome = await self._watch.ask(
+                self._log.append(stream, records, answer_timeout)
+            )
+        except StoreUnavailableError as error:
+            return AppendOutcomeUnknown(str(error))
         if isinstance(outcome, Appended):
             self._watch.answered()
         return outcome
@@ -140,15 +144,15 @@
         stream: str,
         start: int,
         wait: float = 0.0,
-        largest: int = LARGEST_PAGE,
-        patience: float = USUAL_PATIENCE,
+        max_bytes: int = MAX_PAGE_BYTES,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
     ) -> LogPage:
         """
         As `SharedLog.read`.
         """
-        call = self._log.read(stream, start, wait, largest, patience)
+        call = self._log.read(stream, start, wait, max_bytes, answer_timeout)
         # Whoever has more patience than usual expects a large page.
-        expected = wait + max(0.0, patience - USUAL_PATIENCE)
+        expected = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)
         page = await self._watch.ask(call, expected)
         self._watch.answered()
         return page
--- a/packages/saddledoord/src/saddledoord/cluster/view.py
+++ b/packages/saddledoord/src/saddledoord/cluster/view.py
@@ -13,7 +13,7 @@
 from saddledoor import (
     EngineDirectory,
     EngineEntry,
-    EngineMemory,
+    EngineTables,
     GatewayConfig,
     GatewayRoute,
     GatewayService,
@@ -23,7 +23,7 @@
 )
 
 from .._clock import boot_time
-from ..ports import KeyedEntry, NamedVersion, Unusable
+from ..ports import KeyedEntry, NamedVersion, UnusableValue
 
 
 __all__ = ["ClusterView"]
@@ -46,7 +46,7 @@
 
     def __init__(self) -> None:
         self.directory = EngineDirectory()
-        self.memory = EngineMemory()
+        self.engine_tables = EngineTables()
         self._gone: dict[Incarnation, float] = {}
         self.changed = asyncio.Event()
         self._config: GatewayConfig | None = None
@@ -139,14 +139,14 @@
         """
         if isinstance(entry.value, EngineEntry):
             self._put_engine(entry.value)
-        elif isinstance(entry.value, Unusable):
+        elif isinstance(entry.value, UnusableValue):
             self._drop_engine(entry.key)
         else:
             self._remove_engine(entry.key, entry.offset)
         self._forget_gone(boot_time())
         self.changed.set()
 
-    def engines_replaced(self, keys: set[str]) -> None:
+    def retain_engines(self, keys: set[str]) -> None:
         """
         Remove the engines that have no entry any more.
         """
@@ -154,7 +154,7 @@
             self._remove_engine(engine_id, None)
         self.changed.set()
 
-    def is_over(self, incarnation: Incarnation) -> bool:
+    def has_restarted(self, incarnation: Incarnation) -> bool:
         """
         Return whether an engine has started again since.
         """
@@ -166,7 +166,7 @@
         Note that the store was lost or regained.
         """
         if reached:
-            self.directory.store_regained(boot_time())
+            self.directory.record_store_recovery(boot_time())
 
     def _accept(self, config: GatewayConfig) -> None:
         if self._config is not None and config.version <= self._config.version:
@@ -201,7 +201,7 @@
         for incarnation in self._gone:
             # Kept in mind: what was in flight there may still tell of it.
             if incarnation.engine_id == entry.engine_id:
-                self.memory.forget(incarnation)
+                self.engine_tables.forget(incarnation)
 
     def _remove_engine(self, engine_id: str, offset: int | None) -> None:
         _log.info("engine_entry_gone", engine=engine_id, offset=offset)
@@ -222,7 +222,7 @@
         for incarnation, since in list(self._gone.items()):
             if now - since > _REMEMBER_GONE:
                 del self._gone[incarnation]
-                self.memory.forget(incarnation)
+                self.engine_tables.forget(incarnation)
 
     def _log_engine(self, known: EngineEntry | None, entry: EngineEntry) -> None:
         is_again = known is not None and known.incarnation != entry.incarnation
--- a/packages/saddledoord/src/saddledoord/cluster/work_shares.py
+++ b/packages/saddledoord/src/saddledoord/cluster/work_shares.py
@@ -139,12 +139,12 @@
         # A holder could not renew while the store was away, and it needs a moment to
         # notice that it is back.
         regained_at = self._leases.regained_at
-        if not self._leases.reached or boot_time() - regained_at < _TERM:
+        if not self._leases.is_store_reachable or boot_time() - regained_at < _TERM:
             return False
-        if not self._leases.may_take(name, _TERM):
+        if not self._leases.may_claim(name, _TERM):
             return False
         lease = self._leases.get(name)
-        key = (name, lease.last if lease else -1)
+        key = (name, lease.last_offset if lease else -1)
         delay = self._delay + _HELD_DELAY * len(self._held)
         due = boot_time() + delay + random.uniform(0, _JITTER)
         return boot_time() >= self._claims_due.setdefault(key, due)
--- a/packages/saddledoord/src/saddledoord/duties/lease.py
+++ b/packages/saddledoord/src/saddledoord/duties/lease.py
@@ -97,7 +97,7 @@
             _log.warning("duty_lost", duty=self._duty, fence=held.fence)
             self._held = held = None
         if held is None:
-            if self._leases.may_take(self._duty, self._term):
+            if self._leases.may_claim(self._duty, self._term):
                 await self._claim()
             elif self._leases.is_mine(self._duty):
                 # It ran out while the store was away; a renewal that counts shows
--- a/packages/saddledoord/src/saddledoord/duties/usage_counter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_counter.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from saddledoor import TrueTime, UsageMeter, UsageWindows, encode_record
+from saddledoor import StableClock, UsageMeter, UsageWindows, encode_record
 
 from .._clock import boot_time
 from ..ports import Appended, SharedLog
@@ -49,7 +49,7 @@
         self._log = log
         self._windows = windows
         self._unix_time = unix_time
-        self._time = TrueTime(unix_time(), boot_time())
+        self._time = StableClock(unix_time(), boot_time())
         self._meter = UsageMeter(source, windows.of(self.now))
         self._counted = asyncio.Event()
 
@@ -82,7 +82,7 @@
             except TimeoutError:
                 pass
             self._time.observe(self._unix_time(), boot_time())
-            self._meter.close(self._windows.last_counted(self.now))
+            self._meter.close(self._windows.last_closed(self.now))
             await self.flush()
 
     async def flush(self) -> None:
@@ -98,5 +98,5 @@
         if not isinstance(outcome, Appended):
             _log.info("usage_not_written", reason=outcome.reason)
             # The same counts again change nothing.
-            self._meter.give_back(records)
+            self._meter.requeue(records)
             self._counted.set()
--- a/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
@@ -15,8 +15,8 @@
 import structlog
 
 from saddledoor import (
-    UsageBook,
     UsageDecided,
+    UsageFold,
     UsageWindows,
     decode_record,
     encode_record,
@@ -27,9 +27,9 @@
 from ..ports import (
     DutyCalls,
     DutyOutcome,
-    LogGoneError,
+    LogTruncatedError,
     SharedLog,
-    StoreAwayError,
+    StoreUnavailableError,
     UsageReport,
 )
 from .lease import DutyLease
@@ -74,7 +74,7 @@
         self._counter = counter
         self._windows = windows
         self._holder = holder
-        self._book = UsageBook()
+        self._book = UsageFold()
         self._next = 0
         self._sent: set[int] = set()
         self._unheard_since: float | None = None
@@ -91,7 +91,7 @@
                 continue
             try:
                 await self._report_due()
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 _log.info("usage_not_read", reason=str(error))
 
     async def _report_due(self) -> None:
@@ -113,17 +113,17 @@
         not have come, oldest first.
         """
         book, windows = self._book, self._windows
-        known = windows.to_repeat(now, book.last_decided)
+        known = windows.windows_to_resend(now, book.last_decided)
         decided = [window for window in known if book.decided(window) is not None]
-        return decided + windows.to_decide(now, book.first_undecided)
+        return decided + windows.windows_to_decide(now, book.first_undecided)
 
     def _is_ready(self, window: int, now: float) -> bool:
         """
         Whether a window is decided, or may be: all have counted it, or time presses.
         """
-        if self._book.decided(window) is not None or self._book.is_whole(window):
+        if self._book.decided(window) is not None or self._book.is_complete(window):
             return True
-        return window <= self._windows.last_waited_for(now)
+        return window <= self._windows.last_wait_expired(now)
 
     async def _report(self, window: int) -> bool:
         """
@@ -159,7 +159,7 @@
         """
         Remember that a report has come, as long as it might be repeated.
         """
-        first = self._windows.first_to_repeat(self._counter.now)
+        first = self._windows.first_to_resend(self._counter.now)
         self._sent = {known for known in self._sent if known >= first} | {window}
 
     async def _decide(self, window: int) -> dict[str, int] | None:
@@ -179,12 +179,12 @@
         """
         Fold everything that the log holds.
 
-        :raises StoreAwayError: If the store does not answer.
+        :raises StoreUnavailableError: If the store does not answer.
         """
         while True:
             try:
                 page = await self._log.read(USAGE_STREAM, self._next)
-            except LogGoneError as error:
+            except LogTruncatedError as error:
                 self._next = error.first
                 continue
             for record in page.records:
--- a/packages/saddledoord/src/saddledoord/filters/attempt.py
+++ b/packages/saddledoord/src/saddledoord/filters/attempt.py
@@ -12,7 +12,7 @@
 from saddledoor import (
     AnswerBuilder,
     Attempts,
-    Need,
+    BackendRequirement,
     NotRun,
     OutcomeUnknown,
     Part,
@@ -142,7 +142,7 @@
         weight=job.weight,
         cost=job.max_tokens - answer.tokens,
         deadline=job.deadline,
-        need=Need(job.model, job.min_version),
+        requirement=BackendRequirement(job.model, job.min_version),
         avoid=frozenset(attempts.avoid),
         local_only=job.local_only,
     )
--- a/packages/saddledoord/src/saddledoord/filters/claim.py
+++ b/packages/saddledoord/src/saddledoord/filters/claim.py
@@ -26,7 +26,7 @@
 from .._state import NodeState
 from ..backends.client import CallAnswer
 from ..log.claims import ClaimLog
-from ..peers.client import PeerAwayError, PeerClient
+from ..peers.client import PeerClient, PeerUnavailableError
 from .call import ServiceJob
 
 
@@ -134,7 +134,7 @@
         return await claims.claim(partition, claim)
     try:
         return await peers.claim(member.grpc, partition, claim, _CLAIM_TIMEOUT)
-    except PeerAwayError:
+    except PeerUnavailableError:
         return await claims.claim(partition, claim)
 
 
@@ -154,5 +154,5 @@
         return await ledger.outcome(owner.claim_id, wait) or spent
     try:
         return await peers.outcome(address, owner.claim_id, wait) or spent
-    except PeerAwayError:
+    except PeerUnavailableError:
         return spent
--- a/packages/saddledoord/src/saddledoord/filters/collect.py
+++ b/packages/saddledoord/src/saddledoord/filters/collect.py
@@ -16,7 +16,7 @@
     Part,
     ResultCode,
 )
-from saddledoor.tracing import Streamed
+from saddledoor.tracing import AnswerStreamed
 
 from ..observability.tracing import Emit
 
@@ -53,7 +53,7 @@
             builder.end(_ONLY)
     whole = builder.whole()
     runs = tuple((r.version, r.first, r.last) for r in whole.runs) if whole else None
-    trace(Streamed(attempt_id, max_tokens, tuple(taken), runs))
+    trace(AnswerStreamed(attempt_id, max_tokens, tuple(taken), runs))
     if whole is None:
         return OutcomeUnknown(ResultCode.ANSWER_CUT, "the stream had no end marker")
     return whole
--- a/packages/saddledoord/src/saddledoord/filters/decode.py
+++ b/packages/saddledoord/src/saddledoord/filters/decode.py
@@ -11,7 +11,7 @@
 from pydantic import ConfigDict, Field, TypeAdapter, ValidationError
 from pydantic.dataclasses import dataclass
 
-from saddledoor import NotRun, ResultCode, SampleSpec, Slot, problems_of
+from saddledoor import NotRun, ResultCode, SampleSpec, Slot, validation_problems
 
 
 __all__ = [
@@ -103,7 +103,7 @@
         try:
             return adapter.validate_json(body)
         except ValidationError as error:
-            text = "; ".join(str(problem) for problem in problems_of(error)[:5])
+            text = "; ".join(str(problem) for problem in validation_problems(error)[:5])
             return NotRun(ResultCode.BAD_REQUEST, text, 0.0)
 
     return decode
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -13,41 +13,41 @@
 import structlog
 
 from saddledoor import (
-    JobBook,
-    KeyBounds,
+    JobFold,
+    KeyFreshnessBounds,
     ResultCode,
     RouteKind,
     UsageWindows,
-    own_order,
+    least_outstanding_rendezvous,
 )
 
 from ._clock import boot_time
-from .cluster.changes import Changes
+from .cluster.change_notifier import ChangeNotifier
+from .cluster.engine_timeouts import EngineTimeouts
 from .cluster.follow import RegistryFollower
 from .cluster.leases import LeaseLog
-from .cluster.lives import EngineLives
 from .cluster.store_watch import StoreWatch, WatchedLog, WatchedRegistry
 from .cluster.view import ClusterView
 from .cluster.work_shares import WorkShares
 from .duties.lease import DutyLease
 from .duties.usage import UsageDuty
-from .jobs.attempt import Attempts
-from .jobs.known_ends import KnownEnds, LogView
+from .jobs.attempt import AttemptRunner
+from .jobs.log_freshness import LogFreshness, LogReadState
 from .jobs.placement import Placement
 from .jobs.record_writer import RecordWriter
 from .jobs.runner import JobRunner
 from .jobs.scoring import Scorer
 from .jobs.service import JobService
 from .jobs.texts import TextStore
-from .orders.weights import WeightKeeper
+from .orders.weights import WeightUpdater
 from .ports import DutyCalls, Engines, Registry, SharedLog
+from .process_pauses import ProcessPauses
 from .serving.admission import Admission
-from .serving.engine_ends import EngineEndWatch
+from .serving.engine_crash_watch import EngineCrashWatch
 from .serving.pace import EnginePaces
 from .serving.pass_through import PassThrough
 from .serving.pool import EnginePool
-from .serving.silence import SilentEngines
-from .standstills import Standstills
+from .serving.unresponsive_engines import UnresponsiveEngines
 
 
 __all__ = ["Gateway", "GatewayPorts", "GatewaySettings"]
@@ -78,9 +78,9 @@
     :param lease_term: Of the lease for orders, in seconds.
     :param largest_record: Largest record of the log, in bytes.
     :param largest_append: Largest append to the log, in bytes.
-    :param cancel_time: After this long no item of an ended job may reach an engine, in
+    :param cancel_limit: After this long no item of an ended job may reach an engine, in
         seconds.
-    :param read_for: Age up to which an ended job may be read, in seconds.
+    :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log keeps records, in seconds.
     :param key_bounds: How old what it knows of keys may be.
     :param usage: Windows of the usage that is reported; none if none is.
@@ -92,10 +92,10 @@
     lease_term: float
     largest_record: int
     largest_append: int
-    cancel_time: float
-    read_for: float
+    cancel_limit: float
+    result_retention: float
     retention: float
-    key_bounds: KeyBounds
+    key_bounds: KeyFreshnessBounds
     usage: UsageWindows | None = None
 
 
@@ -131,7 +131,7 @@
     ) -> None:
         self._stopping = False
         self._tasks: list[asyncio.Task] = []
-        self._standstills = Standstills()
+        self._standstills = ProcessPauses()
         self.view = ClusterView()
         view = self.view
         self._store = StoreWatch(ports.reconnect)
@@ -145,16 +145,18 @@
             WatchedRegistry(ports.entries, self._store),
             "engines",
             self._apply_engine,
-            view.engines_replaced,
+            view.retain_engines,
             view.store_reached,
         )
-        pool = EnginePool(self.view, own_order(settings.vm))
-        lives = EngineLives(self.view)
+        pool = EnginePool(self.view, least_outstanding_rendezvous(settings.vm))
+        lives = EngineTimeouts(self.view)
         self.admission = Admission(
-            view, lambda: self._operator.confirmed_at, settings.key_bounds
+            view, lambda: self._operator.synced_at, settings.key_bounds
         )
         self._leases = LeaseLog(log, f"{settings.vm}@{settings.address}")
-        self._ends = EngineEndWatch(ports.engines, self.view.memory, self._leases, log)
+        self._ends = EngineCrashWatch(
+            ports.engines, self.view.engine_tables, self._leases, log
+        )
         self.pass_through = PassThrough(
             self.view,
             pool,
@@ -164,16 +166,16 @@
             self.admission,
             count,
             self._count_usage,
-            self._standstills.held_up,
+            self._standstills.read_delay,
         )
-        book = JobBook()
+        book = JobFold()
         texts = TextStore(log, settings.largest_record, settings.largest_append)
         self.jobs = JobService(
             log,
             book,
             texts,
-            Changes(),
-            settings.read_for,
+            ChangeNotifier(),
+            settings.result_retention,
             settings.retention,
             self._store_is_silent,
             lambda: self._shares.any_held,
@@ -186,23 +188,23 @@
             self._shares_changed,
             settings.cores,
         )
-        paces = EnginePaces(self.view.memory)
-        silent = SilentEngines(ports.engines, self.view.memory)
+        paces = EnginePaces(self.view.engine_tables)
+        silent = UnresponsiveEngines(ports.engines, self.view.engine_tables)
         placement = Placement(self.view, pool, paces, silent)
-        self._known_ends = KnownEnds(self._log_view, settings.cancel_time)
+        self._log_freshness = LogFreshness(self._log_read_state, settings.cancel_limit)
         self._runner = JobRunner(
             self.jobs,
             self.view,
             pool,
             silent,
             placement,
-            Attempts(ports.engines, paces, placement, lives, self._ends),
+            AttemptRunner(ports.engines, paces, placement, lives, self._ends),
             self._ends,
             self._writer,
             texts,
             Scorer(self.view, self.pass_through),
             self._shares.owns,
-            self._known_ends,
+            self._log_freshness,
         )
         self.jobs.on_change(self._wake)
         self._lease = DutyLease(self._leases, "orders", settings.lease_term)
@@ -212,7 +214,7 @@
             self._usage = UsageDuty(
                 log, ports.duties, lease, settings.usage, settings.vm, settings.address
             )
-        self._weights = WeightKeeper(
+        self._weights = WeightUpdater(
             self.view,
             ports.engines,
             lives,
@@ -253,7 +255,7 @@
         }
 
     @property
-    def standstills(self) -> int:
+    def pause_count(self) -> int:
         """
         Times that this process has stood still, a count.
         """
@@ -261,17 +263,17 @@
 
     def set_bounds(
         self,
-        cancel_time: float,
-        read_for: float,
+        cancel_limit: float,
+        result_retention: float,
         retention: float,
-        key_bounds: KeyBounds,
+        key_bounds: KeyFreshnessBounds,
     ) -> None:
         """
         Change bounds while the node runs; see `GatewaySettings`.
         """
         self.admission.set_bounds(key_bounds)
-        self._known_ends.set_cancel_time(cancel_time)
-        self.jobs.keep_for(read_for, retention)
+        self._log_freshness.set_cancel_limit(cancel_limit)
+        self.jobs.set_retention(result_retention, retention)
 
     def start(self, failed: Callable[[BaseException], None]) -> None:
         """
@@ -289,7 +291,7 @@
             self._ends.run(),
             self._shares.run(),
             self._runner.run(),
-            self._runner.keep(),
+            self._runner.persist(),
             self._lease.run(),
             self._weights.run(),
         ]
@@ -300,7 +302,7 @@
             task.add_done_callback(lambda task: _report(task, failed))
             self._tasks.append(task)
 
-    async def stop(self, patience: float) -> None:
+    async def stop(self, store_timeout: float) -> None:
         """
         Hand over what this node has: its jobs and its lease.
 
@@ -308,11 +310,11 @@
         they have made of their texts would be lost (ten items of one step, 4 s each,
         in a play with an outage among planned stops).
 
-        :param patience: Longest wait for the store, in seconds.
+        :param store_timeout: Longest wait for the store, in seconds.
         """
         self._stopping = True
         began = boot_time()
-        while not await self.jobs.sync() and boot_time() < began + patience:
+        while not await self.jobs.sync() and boot_time() < began + store_timeout:
             await asyncio.sleep(_RETRY)
         self._runner.hand_over()
         flushed = await self._writer.flushed(_FLUSH_LIMIT)
@@ -341,9 +343,9 @@
     def _store_is_silent(self) -> bool:
         return boot_time() - self._store.answered_at > _ALONE
 
-    def _log_view(self) -> LogView:
-        return LogView(
-            self.jobs.confirmed_at,
+    def _log_read_state(self) -> LogReadState:
+        return LogReadState(
+            self.jobs.synced_at,
             self.jobs.store_reached,
             self._standstills.ended_at,
         )
@@ -362,7 +364,7 @@
         """
         Take up what is new, let go what others run now, and leave them what was made.
         """
-        self._runner.let_go()
+        self._runner.drop_unowned()
         self._runner.wake()
         await self._writer.flushed(_HAND_OVER_LIMIT)
 
--- a/packages/saddledoord/src/saddledoord/jobs/appending.py
+++ b/packages/saddledoord/src/saddledoord/jobs/appending.py
@@ -13,10 +13,10 @@
 import structlog
 
 from .._clock import boot_time
-from ..ports import Appended, SharedLog, StoreAwayError
+from ..ports import Appended, SharedLog, StoreUnavailableError
 
 
-__all__ = ["append_until_done"]
+__all__ = ["append_until_acknowledged"]
 
 _log = structlog.get_logger()
 
@@ -28,7 +28,7 @@
 _PAUSE = 0.1
 
 
-async def append_until_done(
+async def append_until_acknowledged(
     log: SharedLog, stream: str, records: Sequence[bytes], deadline: float = math.inf
 ) -> Appended:
     """
@@ -36,22 +36,23 @@
 
     :param deadline: When no further try begins, monotonic, in seconds.
     :returns: Where one acknowledged copy of them stands.
-    :raises StoreAwayError: If there is none by then; they may stand there all the same.
+    :raises StoreUnavailableError: If there is none by then; they may stand there all
+        the same.
     """
-    patience = _PATIENCE
-    outcome = await log.append(stream, records, patience)
+    answer_timeout = _PATIENCE
+    outcome = await log.append(stream, records, answer_timeout)
     while not isinstance(outcome, Appended):
         if boot_time() >= deadline:
-            raise StoreAwayError(outcome.reason)
+            raise StoreUnavailableError(outcome.reason)
         _log.warning(
             "records_not_written",
             stream=stream,
             records=len(records),
-            patience=patience,
+            patience=answer_timeout,
             reason=outcome.reason,
         )
         await asyncio.sleep(_PAUSE)
         left = max(_PAUSE, deadline - boot_time())
-        patience = min(_PATIENCE_MOST, 2 * patience, left)
-        outcome = await log.append(stream, records, patience)
+        answer_timeout = min(_PATIENCE_MOST, 2 * answer_timeout, left)
+        outcome = await log.append(stream, records, answer_timeout)
     return outcome
--- a/packages/saddledoord/src/saddledoord/jobs/attempt.py
+++ b/packages/saddledoord/src/saddledoord/jobs/attempt.py
@@ -11,16 +11,16 @@
 from saddledoor import EngineEntry, GatewayRoute, GeneratedEvent
 
 from .._clock import boot_time
-from ..cluster.lives import EngineLives
+from ..cluster.engine_timeouts import EngineTimeouts
 from ..ports import Engines, Generation, GenerationFailedError
-from ..serving.engine_ends import EngineEndWatch, RunAtEngine
+from ..serving.engine_crash_watch import EngineCrashWatch, EngineRun
 from ..serving.pace import EnginePaces
 from .item_run import ItemRun
 from .item_times import ItemPhase
 from .placement import Placement
 
 
-__all__ = ["Attempts"]
+__all__ = ["AttemptRunner"]
 
 #: Silence after which a stream counts as broken, in seconds: twice what a change of
 #: weights takes (0.9 s).
@@ -45,7 +45,7 @@
 #: Urgency of items; the platform's default is 5.
 _URGENCY = 5
 #: Outcomes by which the engine shows that it has run the item and lives.
-_ANSWERED = frozenset({GenerationFailedError.FAILED, GenerationFailedError.IMPOSSIBLE})
+_ANSWERED = frozenset({GenerationFailedError.FAILED, GenerationFailedError.REJECTED})
 #: Outcomes by which the engine, or the one that has its address, vouches that it has
 #: not run the item, or by which nothing was sent. An item that could not connect to
 #: two engines which were down was blamed for their ends, and after one end more it was
@@ -53,13 +53,13 @@
 _NOT_RUN = frozenset(
     {
         GenerationFailedError.NOT_STARTED,
-        GenerationFailedError.MOVED,
-        GenerationFailedError.UNREACHED,
+        GenerationFailedError.WRONG_INCARNATION,
+        GenerationFailedError.UNREACHABLE,
     }
 )
 
 
-class Attempts:
+class AttemptRunner:
     """
     Runs items at engines.
     """
@@ -69,8 +69,8 @@
         engines: Engines,
         paces: EnginePaces,
         placement: Placement,
-        lives: EngineLives,
-        ends: EngineEndWatch,
+        lives: EngineTimeouts,
+        ends: EngineCrashWatch,
     ) -> None:
         self._ends = ends
         self._lives = lives
@@ -85,7 +85,7 @@
         :raises GenerationFailedError: If the text is not whole after this.
         """
         try:
-            with self._ends.running(engine.incarnation, run.key) as at_engine:
+            with self._ends.track_run(engine.incarnation, run.key) as at_engine:
                 async with self._lives.within(engine.incarnation):
                     await self._take_watched(run, route, engine, at_engine)
         except TimeoutError:
@@ -98,7 +98,7 @@
         run: ItemRun,
         route: GatewayRoute,
         engine: EngineEntry,
-        at_engine: RunAtEngine,
+        at_engine: EngineRun,
     ) -> None:
         """
         Take the events, and note what the end of the run says of the engine.
@@ -107,13 +107,13 @@
             await self._take_events(run, route, engine)
         except GenerationFailedError as error:
             if error.outcome == GenerationFailedError.BROKEN:
-                at_engine.broke_off(engine)
+                at_engine.record_interrupted(engine)
             elif error.outcome in _ANSWERED:
-                at_engine.survived()
+                at_engine.record_completed()
             elif error.outcome in _NOT_RUN:
-                at_engine.not_run()
+                at_engine.record_not_started()
             raise
-        at_engine.survived()
+        at_engine.record_completed()
 
     async def _take_events(
         self, run: ItemRun, route: GatewayRoute, engine: EngineEntry
@@ -200,7 +200,7 @@
     ) -> None:
         job = run.state.job
         if event.version is not None:
-            self._placement.saw(engine, job.model, event.version)
+            self._placement.note_version(engine, job.model, event.version)
         mixed = run.text.versions and event.version not in run.text.versions
         if route.single_version and mixed:
             run.start_over()
--- a/packages/saddledoord/src/saddledoord/jobs/item_loader.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_loader.py
@@ -14,7 +14,7 @@
 from saddledoor import JobState
 from saddledoor.exceptions import UndecodableRecordError
 
-from ..ports import StoreAwayError
+from ..ports import StoreUnavailableError
 from .service import JobService
 
 
@@ -49,7 +49,7 @@
         self._reads: dict[str, asyncio.Task] = {}
         self._unreadable = 0
 
-    def want(self, state: JobState) -> None:
+    def request_items(self, state: JobState) -> None:
         """
         Have a job's items read unless they are known or being read.
         """
@@ -74,7 +74,7 @@
             try:
                 await self._jobs.load_items(state)
                 return
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 job_id = state.job.job_id
                 _log.warning("items_not_loaded", job=job_id, reason=str(error))
                 await asyncio.sleep(_PAUSE)
--- a/packages/saddledoord/src/saddledoord/jobs/item_run.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_run.py
@@ -12,13 +12,13 @@
 from functools import cached_property, partial
 
 from saddledoor import (
+    CheckpointedText,
     EventText,
     Incarnation,
-    ItemKept,
+    ItemCheckpoint,
     JobItem,
     JobState,
-    KeptParts,
-    KeptText,
+    TextSegment,
     decode_events,
     encode_events,
     request_key,
@@ -88,7 +88,7 @@
         """
         Read what others made of the text, so that the next run goes on there.
 
-        :raises StoreAwayError: If it cannot be had now.
+        :raises StoreUnavailableError: If it cannot be had now.
         :raises UndecodableRecordError: If it is not what a node writes.
         """
         if self.loaded:
@@ -96,7 +96,9 @@
         kept = self.held_by_log
         data = await texts.read(kept.parts)
         events = tuple(event for part in data for event in decode_events(part))
-        self.text = EventText(_new_chain(), KeptText(events, kept.versions, kept.chain))
+        self.text = EventText(
+            _new_chain(), TextSegment(events, kept.versions, kept.chain)
+        )
         self.kept = kept.count
         self.kept_chain = kept.chain
         self.loaded = True
@@ -112,11 +114,11 @@
         )
 
     @property
-    def held_by_log(self) -> KeptParts:
+    def held_by_log(self) -> CheckpointedText:
         """
         What the log holds of the text, as far as this node has read it.
         """
-        return self.state.kept.get(self.item.item_id, KeptParts())
+        return self.state.kept.get(self.item.item_id, CheckpointedText())
 
     @property
     def is_idle(self) -> bool:
@@ -164,7 +166,7 @@
         """
         return self.text.last - self.kept
 
-    def keep(self, writer: RecordWriter) -> None:
+    def persist(self, writer: RecordWriter) -> None:
         """
         Give the log the events that it has not been given.
 
@@ -179,7 +181,7 @@
             self.kept, self.kept_chain = 0, ""
         part = self.text.since(self.kept)
         record = partial(
-            ItemKept,
+            ItemCheckpoint,
             self.state.job.job_id,
             self.item.item_id,
             self.kept + 1,
--- a/packages/saddledoord/src/saddledoord/jobs/known_ends.py
+++ b/packages/saddledoord/src/saddledoord/jobs/log_freshness.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["KnownEnds", "LogView"]
+__all__ = ["LogFreshness", "LogReadState"]
 
 #: Work is sent only if the log's end was known so lately, as a share of the time after
 #: which none of an ended job may reach an engine.
@@ -21,21 +21,21 @@
 
 
 @dataclass(frozen=True)
-class LogView:
+class LogReadState:
     """
     What this node has read of the jobs' log; times are monotonic, in seconds.
 
-    :param confirmed_at: When everything in the log was known.
+    :param synced_at: When everything in the log was known.
     :param reached: Whether the store answered the last read.
-    :param awake_since: When this process last stood still.
+    :param resumed_at: When this process last stood still.
     """
 
-    confirmed_at: float
+    synced_at: float
     reached: bool
-    awake_since: float
+    resumed_at: float
 
 
-class KnownEnds:
+class LogFreshness:
     """
     Tells whether this node would know by now that a job has ended.
 
@@ -45,19 +45,19 @@
     ended 3.6 s before, 12 items or 40 scoring calls were sent at that moment.
 
     :param look: Returns what has been read by now.
-    :param cancel_time: After this long nothing of an ended job may reach an engine, in
+    :param cancel_limit: After this long nothing of an ended job may reach an engine, in
         seconds.
     """
 
-    def __init__(self, look: Callable[[], LogView], cancel_time: float) -> None:
+    def __init__(self, look: Callable[[], LogReadState], cancel_limit: float) -> None:
         self._look = look
-        self.set_cancel_time(cancel_time)
+        self.set_cancel_limit(cancel_limit)
 
-    def set_cancel_time(self, cancel_time: float) -> None:
+    def set_cancel_limit(self, cancel_limit: float) -> None:
         """
         Change the time after which nothing of an ended job may reach an engine.
         """
-        self._fresh = _FRESH * cancel_time
+        self._fresh = _FRESH * cancel_limit
 
     def may_start(self, now: float) -> bool:
         """
@@ -74,7 +74,7 @@
 
     def _is_known(self, now: float, alone: float) -> bool:
         view = self._look()
-        if view.confirmed_at < view.awake_since:
+        if view.synced_at < view.resumed_at:
             return False
         limit = self._fresh if view.reached else alone
-        return now - view.confirmed_at < limit
+        return now - view.synced_at < limit
--- a/packages/saddledoord/src/saddledoord/jobs/placement.py
+++ b/packages/saddledoord/src/saddledoord/jobs/placement.py
@@ -16,17 +16,17 @@
     Incarnation,
     JobItem,
     JobOpened,
-    Seat,
-    TextLengths,
-    choose_seat,
+    PlacementCandidate,
+    TextLengthEstimator,
+    choose_placement,
     is_worth_moving,
 )
 
 from .._clock import boot_time
 from ..cluster.view import ClusterView
 from ..serving.pace import EnginePaces
-from ..serving.pool import EnginePool, Place
-from ..serving.silence import SilentEngines
+from ..serving.pool import EnginePool, Reservation
+from ..serving.unresponsive_engines import UnresponsiveEngines
 from .item_run import ItemRun
 
 
@@ -50,15 +50,17 @@
         view: ClusterView,
         pool: EnginePool,
         paces: EnginePaces,
-        silent: SilentEngines,
+        silent: UnresponsiveEngines,
     ) -> None:
         self._silent = silent
         self._view = view
         self._pool = pool
         self._paces = paces
-        self._seen_versions: EngineTable[dict[str, int]] = view.memory.table(dict)
-        self._lengths: dict[str, TextLengths] = {}
-        self._running: EngineTable[set[ItemRun]] = view.memory.table(set)
+        self._seen_versions: EngineTable[dict[str, int]] = view.engine_tables.table(
+            dict
+        )
+        self._lengths: dict[str, TextLengthEstimator] = {}
+        self._running: EngineTable[set[ItemRun]] = view.engine_tables.table(set)
 
     def announced(self, job: JobOpened, items: Iterable[JobItem]) -> None:
         """
@@ -73,11 +75,11 @@
         lengths = self._lengths_of(run.state.job)
         lengths.finished(run.item.expected_tokens, run.text.last)
 
-    def take(self, run: ItemRun, engine: EngineEntry) -> Place:
+    def reserve(self, run: ItemRun, engine: EngineEntry) -> Reservation:
         """
         Take a place at an engine for an item.
         """
-        place = self._pool.take(engine, run.state.job.model)
+        place = self._pool.reserve(engine, run.state.job.model)
         there = self._running[engine.incarnation]
         there.add(run)
 
@@ -85,23 +87,23 @@
             place.release()
             there.discard(run)
 
-        return Place(give_back)
+        return Reservation(give_back)
 
     def started(self, engine: EngineEntry, model: str) -> None:
         """
         Note that an engine has begun with an item of a model.
         """
-        self._pool.answered(engine, model)
+        self._pool.record_success(engine, model)
 
-    def saw(self, engine: EngineEntry, model: str, version: int) -> None:
+    def note_version(self, engine: EngineEntry, model: str, version: int) -> None:
         """
         Note that an engine has made an event under a version of its weights.
         """
-        self._pool.answered(engine)
+        self._pool.record_success(engine)
         seen = self._seen_versions[engine.incarnation]
         if version > seen.get(model, 0):
             # It has loaded, so it takes items of the model again.
-            self._pool.answered(engine, model)
+            self._pool.record_success(engine, model)
             seen[model] = version
 
     def weigh(self, run: ItemRun) -> None:
@@ -119,7 +121,7 @@
         So the long texts of all trainers come before the short ones, and old jobs
         before new ones, in one currency.
         """
-        return run.state.known_since - self._events_left(run) * self._usual_gap()
+        return run.state.first_seen_at - self._events_left(run) * self._usual_gap()
 
     def choose(
         self, run: ItemRun, route: GatewayRoute, exclude: Collection[Incarnation]
@@ -132,14 +134,16 @@
         model, now = run.state.job.model, boot_time()
         engines = {
             engine.incarnation: engine
-            for engine in self._pool.with_room(route.service(random.random()), model)
+            for engine in self._pool.with_free_slots(
+                route.service(random.random()), model
+            )
             if engine.incarnation not in exclude
             and self._fits(engine, run)
             and self._speaks(engine.incarnation, now)
         }
         seats = {self._seat(engine, now): engine for engine in engines.values()}
         best = self._paces.best_gap(engines, now)
-        seat = choose_seat(list(seats), best, run.is_long)
+        seat = choose_placement(list(seats), best, run.is_long)
         return seats[seat] if seat is not None else None
 
     def elsewhere(self, run: ItemRun, engine: EngineEntry) -> EngineEntry | None:
@@ -177,23 +181,23 @@
         streams = any(run.has_events for run in self._running[engine])
         return not streams or self._paces.silent_for(engine, now) <= _QUIET
 
-    def _seat(self, engine: EngineEntry, now: float) -> Seat:
-        return Seat(
+    def _seat(self, engine: EngineEntry, now: float) -> PlacementCandidate:
+        return PlacementCandidate(
             engine.engine_id,
-            self._pool.own(engine),
+            self._pool.in_flight(engine),
             sum(run.is_long for run in self._running[engine.incarnation]),
             self._paces.gap(engine.incarnation, now),
         )
 
     def _events_left(self, run: ItemRun) -> float:
         lengths = self._lengths_of(run.state.job)
-        return lengths.left(run.item.expected_tokens, run.text.last)
+        return lengths.remaining_events(run.item.expected_tokens, run.text.last)
 
     def _usual_gap(self) -> float:
         return self._paces.best_gap(self._running, boot_time()) or _USUAL_GAP
 
-    def _lengths_of(self, job: JobOpened) -> TextLengths:
-        return self._lengths.setdefault(job.series, TextLengths())
+    def _lengths_of(self, job: JobOpened) -> TextLengthEstimator:
+        return self._lengths.setdefault(job.series, TextLengthEstimator())
 
     def _fits(self, engine: EngineEntry, run: ItemRun) -> bool:
         """
--- a/packages/saddledoord/src/saddledoord/jobs/record_writer.py
+++ b/packages/saddledoord/src/saddledoord/jobs/record_writer.py
@@ -13,7 +13,7 @@
 from saddledoor import JobRecord, StoredText, encode_job_record
 
 from ..ports import SharedLog
-from .appending import append_until_done
+from .appending import append_until_acknowledged
 from .texts import TextStore
 
 
@@ -108,7 +108,7 @@
                 encode_job_record(waiting.record_of(place))
                 for waiting, place in zip(batch, places, strict=True)
             ]
-            await append_until_done(self._log, JOBS_STREAM, records)
+            await append_until_acknowledged(self._log, JOBS_STREAM, records)
             for waiting in batch:
                 waiting.written()
             if not self._waiting:
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -16,28 +16,28 @@
     EngineEntry,
     GatewayRoute,
     ItemFailed,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     JobItem,
     JobState,
-    Standing,
+    PoisonStatus,
 )
 from saddledoor.exceptions import UndecodableRecordError
 
 from .._clock import boot_time
 from ..cluster.view import ClusterView
-from ..ports import GenerationFailedError, StoreAwayError
-from ..serving.engine_ends import EngineEndWatch
-from ..serving.pool import EnginePool, Place
-from ..serving.silence import SilentEngines
-from .attempt import Attempts
+from ..ports import GenerationFailedError, StoreUnavailableError
+from ..serving.engine_crash_watch import EngineCrashWatch
+from ..serving.pool import EnginePool, Reservation
+from ..serving.unresponsive_engines import UnresponsiveEngines
+from .attempt import AttemptRunner
 from .item_loader import ItemLoader
 from .item_run import ItemRun
 from .item_times import ItemPhase
-from .known_ends import KnownEnds
+from .log_freshness import LogFreshness
 from .placement import Placement
 from .record_writer import RecordWriter
-from .scoring import ScoreImpossibleError, Scorer
+from .scoring import Scorer, ScoringFailedError
 from .service import JobService
 from .texts import TextStore
 
@@ -76,15 +76,15 @@
         jobs: JobService,
         view: ClusterView,
         pool: EnginePool,
-        silent: SilentEngines,
+        silent: UnresponsiveEngines,
         placement: Placement,
-        attempts: Attempts,
-        ends: EngineEndWatch,
+        attempts: AttemptRunner,
+        ends: EngineCrashWatch,
         writer: RecordWriter,
         texts: TextStore,
         scorer: Scorer,
         owns: Callable[[str], bool],
-        known_ends: KnownEnds,
+        log_freshness: LogFreshness,
     ) -> None:
         self._jobs = jobs
         self._view = view
@@ -94,7 +94,7 @@
         self._texts = texts
         self._scorer = scorer
         self._owns = owns
-        self._known_ends = known_ends
+        self._log_freshness = log_freshness
         self._attempts = attempts
         self._ends = ends
         self._placement = placement
@@ -116,7 +116,7 @@
         while True:
             self._wake.clear()
             # Whoever has stood still asks first which items have ended engines.
-            await self._ends.ask()
+            await self._ends.refresh()
             self._reconcile()
             if self._may_start():
                 self._dispatch()
@@ -126,7 +126,7 @@
             except TimeoutError:
                 pass
 
-    def let_go(self) -> None:
+    def drop_unowned(self) -> None:
         """
         Drop at once what this node should not run any more.
         """
@@ -140,7 +140,7 @@
         for key in list(self._runs):
             self._drop(key, "handed_over")
 
-    async def keep(self) -> None:
+    async def persist(self) -> None:
         """
         Give the log what was made of long texts, until cancelled.
         """
@@ -149,7 +149,7 @@
             for run in self._runs.values():
                 busy = run.listing or run.writing
                 if run.unkept >= _KEEP_LEAST and not busy:
-                    run.keep(self._writer)
+                    run.persist(self._writer)
 
     def _waiting(self) -> bool:
         return any(run.is_idle for run in self._runs.values())
@@ -158,7 +158,7 @@
         """
         Whether this node would know by now that a job has ended.
         """
-        return self._known_ends.may_start(boot_time())
+        return self._log_freshness.may_start(boot_time())
 
     def _reconcile(self) -> None:
         """
@@ -169,8 +169,8 @@
             return
         wanted: dict[Key, tuple[JobState, JobItem]] = {}
         for state in self._own_jobs():
-            self._items.want(state)
-            for item in state.unlisted():
+            self._items.request_items(state)
+            for item in state.items_without_result():
                 wanted[state.job.job_id, item.item_id] = (state, item)
         for key in list(self._runs):
             if key not in wanted:
@@ -209,7 +209,7 @@
             reason=reason,
             events=run.text.last,
         )
-        run.keep(self._writer)
+        run.persist(self._writer)
 
     def _dispatch(self) -> None:
         no_room: set[tuple[str, str, int]] = set()
@@ -227,29 +227,29 @@
             if needs in no_room and not run.unfit:
                 continue
             self._placement.weigh(run)
-            standing = self._ends.standing(run.key)
-            if standing is Standing.BARRED:
+            poison_status = self._ends.poison_status(run.key)
+            if poison_status is PoisonStatus.QUARANTINED:
                 self._log_barred(run)
                 continue
-            engine = self._choose(run, route, standing)
+            engine = self._choose(run, route, poison_status)
             if engine is None:
-                if standing is not Standing.UNCLEAR:
+                if poison_status is not PoisonStatus.AMBIGUOUS:
                     no_room.add(needs)
                 run.unfit.clear()
                 continue
             self._begin(run, route, engine)
 
     def _choose(
-        self, run: ItemRun, route: GatewayRoute, standing: Standing
+        self, run: ItemRun, route: GatewayRoute, poison_status: PoisonStatus
     ) -> EngineEntry | None:
         """
         Return an engine for an item by what is known of it, or none.
         """
-        if standing is Standing.FREE:
+        if poison_status is PoisonStatus.CLEAN:
             return self._placement.choose(run, route, run.unfit)
-        taken = self._ends.with_suspects(run.key)
+        taken = self._ends.engines_with_suspects(run.key)
         alone = self._placement.choose(run, route, run.unfit | taken)
-        if alone is not None or standing is Standing.UNCLEAR:
+        if alone is not None or poison_status is PoisonStatus.AMBIGUOUS:
             return alone
         return self._placement.choose(run, route, run.unfit)
 
@@ -266,13 +266,13 @@
         )
 
     def _begin(self, run: ItemRun, route: GatewayRoute, engine: EngineEntry) -> None:
-        place = self._placement.take(run, engine)
+        place = self._placement.reserve(run, engine)
         run.engines.append(engine.engine_id)
         run.times.enter(ItemPhase.FIRST_EVENT, boot_time())
         run.task = asyncio.create_task(self._work(run, route, engine, place))
         run.task.add_done_callback(lambda task: self._ended(run, task, place))
 
-    def _ended(self, run: ItemRun, task: asyncio.Task, place: Place) -> None:
+    def _ended(self, run: ItemRun, task: asyncio.Task, place: Reservation) -> None:
         # A task that is cancelled before it began has not given its place back.
         place.release()
         if not task.cancelled() and task.exception() is not None:
@@ -287,14 +287,14 @@
         self.wake()
 
     def _too_old(self, run: ItemRun, route: GatewayRoute) -> bool:
-        if route.give_up_after is None:
+        if route.max_item_age is None:
             return False
         # Not by a time of day, which may jump and differs between VMs.
-        age = boot_time() - run.state.known_since
-        return age > route.give_up_after
+        age = boot_time() - run.state.first_seen_at
+        return age > route.max_item_age
 
     async def _work(
-        self, run: ItemRun, route: GatewayRoute, engine: EngineEntry, place: Place
+        self, run: ItemRun, route: GatewayRoute, engine: EngineEntry, place: Reservation
     ) -> None:
         with place:
             try:
@@ -321,7 +321,7 @@
         """
         try:
             await run.load(self._texts)
-        except (StoreAwayError, UndecodableRecordError) as error:
+        except (StoreUnavailableError, UndecodableRecordError) as error:
             _log.warning(
                 "kept_text_not_loaded",
                 job=run.state.job.job_id,
@@ -346,19 +346,19 @@
         )
         match outcome:
             case GenerationFailedError.NOT_STARTED:
-                self._pool.refused(engine, run.state.job.model)
+                self._pool.record_refusal(engine, run.state.job.model)
             case GenerationFailedError.STALLED:
-                self._silent.note(engine)
+                self._silent.probe(engine)
             case GenerationFailedError.SLOW | GenerationFailedError.RESTARTED:
                 pass
             case GenerationFailedError.FAILED:
                 run.unfit.add(engine.incarnation)
                 self._count_failure(run)
-            case GenerationFailedError.IMPOSSIBLE:
+            case GenerationFailedError.REJECTED:
                 self._give_up(run)
             case _:
-                self._pool.failed(engine)
-                self._silent.note(engine)
+                self._pool.record_failure(engine)
+                self._silent.probe(engine)
 
     def _count_failure(self, run: ItemRun) -> None:
         job, item_id = run.state.job, run.item.item_id
@@ -380,9 +380,9 @@
                     lambda: self._writer.put(
                         ItemFailed(job_id, item.item_id, _new_failure(), scoring=True)
                     ),
-                    lambda: self._known_ends.may_score(boot_time()),
+                    lambda: self._log_freshness.may_score(boot_time()),
                 )
-            except ScoreImpossibleError:
+            except ScoringFailedError:
                 _log.info("item_not_scored", job=job_id, item=item.item_id)
                 self._give_up(run)
                 return
@@ -391,7 +391,7 @@
         run.times.enter(ItemPhase.LOG, boot_time())
         self._writer.put_with_text(
             run.text.text.encode(),
-            lambda text: ItemListed(
+            lambda text: ItemResultRecorded(
                 job_id, ItemResult(item.item_id, True, text, versions, mark)
             ),
             lambda: self._log_group(run),
@@ -423,7 +423,7 @@
         """
         run.listing = True
         result = ItemResult(run.item.item_id, done=False)
-        self._writer.put(ItemListed(run.state.job.job_id, result))
+        self._writer.put(ItemResultRecorded(run.state.job.job_id, result))
 
 
 def _new_failure() -> str:
--- a/packages/saddledoord/src/saddledoord/jobs/scoring.py
+++ b/packages/saddledoord/src/saddledoord/jobs/scoring.py
@@ -21,7 +21,7 @@
 from ..serving.pass_through import PassThrough
 
 
-__all__ = ["ScoreImpossibleError", "Scorer"]
+__all__ = ["ScoringFailedError", "Scorer"]
 
 _log = structlog.get_logger()
 
@@ -37,7 +37,7 @@
 _NO_ROUTE_PAUSE = 0.5
 
 
-class ScoreImpossibleError(Exception):
+class ScoringFailedError(Exception):
     """
     The scoring service failed as often as its route allows.
     """
@@ -65,11 +65,11 @@
         :param failures: Failed calls so far, by whichever node.
         :param failed: Called after each further one.
         :param may_call: Whether the call may be made just now.
-        :raises ScoreImpossibleError: After as many failures as the route allows.
+        :raises ScoringFailedError: After as many failures as the route allows.
         """
         pause = _PAUSE
 
-        def heard(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             nonlocal failures
             if isinstance(outcome, EngineAnswer) and outcome.status == _FAILED:
                 failures += 1
@@ -85,7 +85,7 @@
                 await asyncio.sleep(_NO_ROUTE_PAUSE)
                 continue
             if failures >= route.max_attempts:
-                raise ScoreImpossibleError(call.request_id)
+                raise ScoringFailedError(call.request_id)
             # Never more failures than the route allows, and a second instance beside
             # one that is late: the whole step may be waiting for this answer.
             left = min(_AT_ONCE, route.max_attempts - failures)
@@ -93,13 +93,15 @@
                 replace(route, max_attempts=left),
                 _request(call),
                 boot_time() + route.timeout,
-                heard,
+                on_outcome,
                 call.request_id,
                 may_call,
             )
             match outcome:
-                case EngineAnswer(status=status, mark=mark) if status < 300 and mark:
-                    return mark
+                case EngineAnswer(status=status, signature=signature) if (
+                    status < 300 and signature
+                ):
+                    return signature
             await asyncio.sleep(pause)
             pause = min(_PAUSE_MOST, 2 * pause)
 
--- a/packages/saddledoord/src/saddledoord/jobs/service.py
+++ b/packages/saddledoord/src/saddledoord/jobs/service.py
@@ -15,8 +15,8 @@
 from saddledoor import (
     ItemResult,
     Job,
-    JobBook,
     JobEnded,
+    JobFold,
     JobItem,
     JobOpened,
     JobState,
@@ -31,14 +31,14 @@
 from saddledoor.exceptions import UndecodableRecordError
 
 from .._clock import boot_time
-from ..cluster.changes import Changes
+from ..cluster.change_notifier import ChangeNotifier
 from ..cluster.follow import LogFollower
 from ..ports import (
     Appended,
+    AppendOutcomeUnknown,
     NotAppended,
     SharedLog,
-    StoreAwayError,
-    UnknownAppend,
+    StoreUnavailableError,
 )
 from .record_writer import JOBS_STREAM
 from .texts import TextStore
@@ -46,11 +46,11 @@
 
 __all__ = [
     "Accepted",
-    "JobReading",
+    "JobResultsPage",
     "JobService",
-    "NoSuchJob",
-    "ReadResult",
-    "Unsure",
+    "JobNotFound",
+    "ResultWithText",
+    "JobStateUnknown",
 ]
 
 _log = structlog.get_logger()
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True)
-class ReadResult:
+class ResultWithText:
     """
     A result with its text.
     """
@@ -100,25 +100,25 @@
 
 
 @dataclass(frozen=True)
-class JobReading:
+class JobResultsPage:
     """
     Results from one position on.
     """
 
     total: int
     next_position: int
-    results: tuple[ReadResult, ...]
+    results: tuple[ResultWithText, ...]
 
 
 @dataclass(frozen=True)
-class NoSuchJob:
+class JobNotFound:
     """
     The log holds no such job, item or body.
     """
 
 
 @dataclass(frozen=True)
-class Unsure:
+class JobStateUnknown:
     """
     This node cannot read the log just now, so it does not know.
     """
@@ -130,7 +130,7 @@
     """
     Answers from the fold of the log, read on where the fold alone is not sure.
 
-    :param read_for: Age up to which an ended job may be read, in seconds.
+    :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log keeps records, in seconds.
     :param store_is_silent: Whether this node has heard nothing of the store lately.
     :param runs_jobs: Whether this node runs any share of the jobs.
@@ -139,10 +139,10 @@
     def __init__(
         self,
         log: SharedLog,
-        book: JobBook,
+        book: JobFold,
         texts: TextStore,
-        changes: Changes,
-        read_for: float,
+        changes: ChangeNotifier,
+        result_retention: float,
         retention: float,
         store_is_silent: Callable[[], bool],
         runs_jobs: Callable[[], bool],
@@ -152,12 +152,14 @@
         self._runs_jobs = runs_jobs
         self._book = book
         self._texts = texts
-        self.keep_for(read_for, retention)
+        self.set_retention(result_retention, retention)
         self._changes = changes
         self._changed = lambda: None
         self._forgot_at = boot_time()
         self._unreadable: set[tuple[str, str]] = set()
-        self._follower = LogFollower(log, JOBS_STREAM, self._apply, gather=self._gather)
+        self._follower = LogFollower(
+            log, JOBS_STREAM, self._apply, batch_delay=self._gather
+        )
 
     @property
     def caught_up(self) -> bool:
@@ -171,7 +173,7 @@
         """
         Whether the store answered this node's last read.
         """
-        return self._follower.reached
+        return self._follower.is_store_reachable
 
     @property
     def skipped(self) -> int:
@@ -188,11 +190,11 @@
         return len(self._unreadable)
 
     @property
-    def confirmed_at(self) -> float:
+    def synced_at(self) -> float:
         """
         When this node knew the log's end, monotonic, in seconds.
         """
-        return self._follower.confirmed_at
+        return self._follower.synced_at
 
     def open_jobs(self) -> list[JobState]:
         """
@@ -200,11 +202,11 @@
         """
         return self._book.open_jobs()
 
-    def keep_for(self, read_for: float, retention: float) -> None:
+    def set_retention(self, result_retention: float, retention: float) -> None:
         """
         Change how long jobs are kept for their readers, in seconds.
         """
-        self._ended_for = read_for + _KEEP_MARGIN
+        self._ended_for = result_retention + _KEEP_MARGIN
         self._open_for = max(self._ended_for, retention)
 
     def on_change(self, changed) -> None:
@@ -252,7 +254,7 @@
 
     async def read(
         self, job_id: str, position: int, wait: float, caller: str | None = None
-    ) -> JobReading | NoSuchJob | Unsure:
+    ) -> JobResultsPage | JobNotFound | JobStateUnknown:
         """
         Return results from a position on, as many as their texts come in time.
 
@@ -273,15 +275,15 @@
                 break
             await self._changes.wait(job_id, deadline - boot_time())
         if position >= len(state.results) and not await self._follower.sync():
-            return Unsure()
+            return JobStateUnknown()
         results = _from_position(state.results, position)
         try:
             texts = await self._texts.read_first(
                 [result.text for result in results], texts_deadline
             )
-        except StoreAwayError as error:
+        except StoreUnavailableError as error:
             _log.info("texts_not_read", job=job_id, reason=str(error))
-            return Unsure()
+            return JobStateUnknown()
         if len(texts) < len(results):
             _log.info(
                 "reading_in_part",
@@ -295,9 +297,11 @@
             self._read_result(job_id, result, text)
             for result, text in zip(results, texts, strict=False)
         )
-        return JobReading(state.job.size, position + len(read), read)
+        return JobResultsPage(state.job.size, position + len(read), read)
 
-    def _read_result(self, job_id: str, result: ItemResult, text: bytes) -> ReadResult:
+    def _read_result(
+        self, job_id: str, result: ItemResult, text: bytes
+    ) -> ResultWithText:
         """
         Return a result; one whose text cannot be read is one that was given up.
 
@@ -305,7 +309,7 @@
         still read.
         """
         try:
-            return ReadResult(result, text.decode())
+            return ResultWithText(result, text.decode())
         except UnicodeDecodeError as error:
             if (job_id, result.item_id) not in self._unreadable:
                 self._unreadable.add((job_id, result.item_id))
@@ -315,11 +319,11 @@
                     item=result.item_id,
                     reason=str(error.reason),
                 )
-            return ReadResult(ItemResult(result.item_id, done=False), "")
+            return ResultWithText(ItemResult(result.item_id, done=False), "")
 
     async def body(
         self, job_id: str, item_id: str, caller: str | None = None
-    ) -> bytes | NoSuchJob | Unsure:
+    ) -> bytes | JobNotFound | JobStateUnknown:
         """
         Return the body of an item.
 
@@ -330,17 +334,17 @@
             return state
         try:
             items = await self.load_items(state)
-        except (StoreAwayError, UndecodableRecordError) as error:
+        except (StoreUnavailableError, UndecodableRecordError) as error:
             _log.info("items_not_loaded", job=job_id, reason=str(error))
-            return Unsure()
+            return JobStateUnknown()
         item = items.get(item_id)
-        return item.body if item is not None else NoSuchJob()
+        return item.body if item is not None else JobNotFound()
 
     async def load_items(self, state: JobState) -> dict[str, JobItem]:
         """
         Have a job's items, by id; only nodes that need them read them.
 
-        :raises StoreAwayError: If they cannot be had now.
+        :raises StoreUnavailableError: If they cannot be had now.
         :raises UndecodableRecordError: If they are unusable.
         """
         if state.items is None:
@@ -350,7 +354,7 @@
 
     async def end(
         self, job_id: str, caller: str | None = None
-    ) -> Accepted | NoSuchJob | Unsure:
+    ) -> Accepted | JobNotFound | JobStateUnknown:
         """
         End a job once the log holds its end.
 
@@ -369,22 +373,22 @@
             listed=len(state.results),
             acknowledged=isinstance(outcome, Accepted),
         )
-        return outcome if isinstance(outcome, Accepted) else Unsure()
+        return outcome if isinstance(outcome, Accepted) else JobStateUnknown()
 
     async def _find(
         self, job_id: str, caller: str | None
-    ) -> JobState | NoSuchJob | Unsure:
+    ) -> JobState | JobNotFound | JobStateUnknown:
         state = self._book.get(job_id)
         if state is None and not await self._follower.sync():
             _log.info("job_unsure", job=job_id, caught_up=self.caught_up)
-            return Unsure()
+            return JobStateUnknown()
         state = self._book.get(job_id)
         if state is None:
             _log.info("job_unknown", job=job_id)
-            return NoSuchJob()
+            return JobNotFound()
         if not state.job.may_be_seen_by(caller):
             _log.info("job_of_another_workspace", job=job_id, caller=caller)
-            return NoSuchJob()
+            return JobNotFound()
         return state
 
     async def _open(
@@ -396,7 +400,7 @@
         try:
             items = encode_job_items(job.items)
             (stored,) = await self._texts.write([items], deadline)
-        except StoreAwayError as error:
+        except StoreUnavailableError as error:
             # Items alone never run.
             return NotRun(ResultCode.LOG_AWAY, str(error), _COME_BACK)
         opened = encode_job_record(JobOpened.of(job, stored))
@@ -417,7 +421,7 @@
             match outcome:
                 case Appended():
                     return Accepted()
-                case UnknownAppend(reason=reason):
+                case AppendOutcomeUnknown(reason=reason):
                     may_be_there = True
                 case NotAppended(reason=reason):
                     pass
@@ -427,7 +431,7 @@
         return NotRun(ResultCode.LOG_AWAY, reason, _COME_BACK)
 
     def _gather(self) -> float:
-        return 0.0 if self._runs_jobs() or self._changes.awaited else _GATHER
+        return 0.0 if self._runs_jobs() or self._changes.has_waiters else _GATHER
 
     def _apply(self, offset: int, data: bytes) -> None:
         job_id = self._book.apply(decode_job_record(data), boot_time())
--- a/packages/saddledoord/src/saddledoord/jobs/texts.py
+++ b/packages/saddledoord/src/saddledoord/jobs/texts.py
@@ -20,8 +20,8 @@
 from saddledoor import PageSize, StoredText
 
 from .._clock import boot_time
-from ..ports import LogGoneError, SharedLog, StoreAwayError
-from .appending import append_until_done
+from ..ports import LogTruncatedError, SharedLog, StoreUnavailableError
+from .appending import append_until_acknowledged
 
 
 __all__ = ["TextStore"]
@@ -65,7 +65,7 @@
         Write texts, again and again until the log has them.
 
         :param deadline: When no further try begins, monotonic, in seconds.
-        :raises StoreAwayError: If the log has not acknowledged them by then.
+        :raises StoreUnavailableError: If the log has not acknowledged them by then.
         """
         cut = [self._cut(text) for text in texts]
         pieces = list(chain.from_iterable(cut))
@@ -79,7 +79,7 @@
         """
         Read texts back.
 
-        :raises StoreAwayError: If one cannot be had now.
+        :raises StoreUnavailableError: If one cannot be had now.
         """
         wanted = sorted({offset for text in texts for offset in text.offsets})
         found = {o: self._remembered[o] for o in wanted if o in self._remembered}
@@ -100,7 +100,7 @@
         to another node had none of them, however often it asked.
 
         :param deadline: When no further page is read, monotonic, in seconds.
-        :raises StoreAwayError: If the first one cannot be had now.
+        :raises StoreUnavailableError: If the first one cannot be had now.
         """
         read: list[bytes] = []
         found: dict[int, bytes] = {}
@@ -113,7 +113,7 @@
                 for offset in missing:
                     if offset not in found:
                         await self._read_from(offset, asked, found)
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 if not read:
                     raise
                 _log.info("texts_read_in_part", read=len(read), reason=str(error))
@@ -137,7 +137,9 @@
         offsets: list[int] = []
         for begin in range(0, len(pieces), self._records_at_once):
             group = pieces[begin : begin + self._records_at_once]
-            done = await append_until_done(self._log, TEXTS_STREAM, group, deadline)
+            done = await append_until_acknowledged(
+                self._log, TEXTS_STREAM, group, deadline
+            )
             for index, piece in enumerate(group):
                 self._remember(done.offset + index, piece)
                 offsets.append(done.offset + index)
@@ -155,15 +157,15 @@
                 found[offset] = self._remembered[offset]
                 return
             if self._failed_at > asked:
-                raise StoreAwayError("another read of texts failed just now")
+                raise StoreUnavailableError("another read of texts failed just now")
             try:
                 page = await self._log.read(
-                    TEXTS_STREAM, offset, largest=self._page_size.current
+                    TEXTS_STREAM, offset, max_bytes=self._page_size.current
                 )
-            except LogGoneError as error:
+            except LogTruncatedError as error:
                 _log.error("text_gone", offset=offset, first=error.first)
-                raise StoreAwayError(f"text {offset} is gone") from None
-            except StoreAwayError:
+                raise StoreUnavailableError(f"text {offset} is gone") from None
+            except StoreUnavailableError:
                 self._failed_at = boot_time()
                 self._page_size.failed()
                 raise
@@ -172,7 +174,7 @@
             found[offset + index] = record
             self._remember(offset + index, record)
         if offset not in found:
-            raise StoreAwayError(f"no text at offset {offset}")
+            raise StoreUnavailableError(f"no text at offset {offset}")
 
     def _remember(self, offset: int, record: bytes) -> None:
         if offset in self._remembered:
--- a/packages/saddledoord/src/saddledoord/log/claims.py
+++ b/packages/saddledoord/src/saddledoord/log/claims.py
@@ -16,12 +16,12 @@
     KeyClaim,
     encode_record,
 )
-from saddledoor.tracing import ClaimDecided, Folded
+from saddledoor.tracing import ClaimDecided, RecordFolded
 
 from .._state import NodeState
 from ..observability.daemon_metrics import Metrics
 from ..observability.tracing import Emit
-from .client import LogAwayError, LogClient, LogPage
+from .client import LogClient, LogPage, LogUnavailableError
 
 
 __all__ = ["ClaimLog"]
@@ -72,7 +72,7 @@
         """
         Free a key.
 
-        :raises LogAwayError: If it is not known whether the log took it.
+        :raises LogUnavailableError: If it is not known whether the log took it.
         """
         await self._log.append(self._stream, [record])
 
@@ -86,12 +86,12 @@
         claims = tuple(waiting.claim for waiting in batch)
         try:
             offset = await self._log.append(self._stream, [ClaimBatch(claims)])
-        except LogAwayError:
+        except LogUnavailableError:
             # It may stand in the log all the same: only reading on tells.
             offset = -1
         try:
             await self._catch_up(offset)
-        except LogAwayError:
+        except LogUnavailableError:
             for waiting in batch:
                 _resolve(waiting, None)
             return
@@ -120,7 +120,7 @@
             if entry.record is not None:
                 data = encode_record(entry.record)
                 self._trace(
-                    Folded(self._stream, entry.offset, entry.at, data, page.first)
+                    RecordFolded(self._stream, entry.offset, entry.at, data, page.first)
                 )
             self._fold.apply(entry.offset, entry.at, entry.record)
 
@@ -170,7 +170,7 @@
         """
         try:
             await self._partition(partition).release(record)
-        except LogAwayError:
+        except LogUnavailableError:
             self.release_later(partition, record)
 
     async def run_releases(self) -> None:
@@ -182,7 +182,7 @@
             for claim_id, (partition, record) in list(self._releases.items()):
                 try:
                     await self._partition(partition).release(record)
-                except LogAwayError:
+                except LogUnavailableError:
                     break
                 self._releases.pop(claim_id, None)
 
--- a/packages/saddledoord/src/saddledoord/log/client.py
+++ b/packages/saddledoord/src/saddledoord/log/client.py
@@ -17,10 +17,10 @@
 from ..observability.daemon_metrics import Metrics
 
 
-__all__ = ["LogAwayError", "LogClient", "LogPage", "LoggedRecord"]
+__all__ = ["LogUnavailableError", "LogClient", "LogPage", "LoggedRecord"]
 
 
-class LogAwayError(Exception):
+class LogUnavailableError(Exception):
     """
     The log gave no usable answer; an append may have taken effect all the same.
     """
@@ -74,7 +74,7 @@
         Append records in one piece.
 
         :returns: Offset of the first.
-        :raises LogAwayError: Also when the append may have taken effect.
+        :raises LogUnavailableError: Also when the append may have taken effect.
         """
         body = {"records": [encode_record(record) for record in records]}
         self._metrics.log_appends.add(1, {"stream": stream.split("-")[0]})
@@ -86,7 +86,7 @@
         Read what stands at ``start`` and after it.
 
         :param wait: How long the log may wait for a record to come, in seconds.
-        :raises LogAwayError: If the log gave no usable answer.
+        :raises LogUnavailableError: If the log gave no usable answer.
         """
         params = {"from": str(start), "wait": f"{wait:.2f}"}
         answer = await self._ask("GET", stream, params=params, wait=wait)
@@ -109,10 +109,10 @@
                 method, url, json=body, params=params, timeout=timeout
             ) as response:
                 if response.status != 200:
-                    raise LogAwayError(f"status {response.status}")
+                    raise LogUnavailableError(f"status {response.status}")
                 return await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise LogAwayError(repr(error)) from None
+            raise LogUnavailableError(repr(error)) from None
 
     def _decode(self, item: dict) -> LoggedRecord:
         try:
--- a/packages/saddledoord/src/saddledoord/log/follower.py
+++ b/packages/saddledoord/src/saddledoord/log/follower.py
@@ -23,10 +23,10 @@
     unpack_document,
 )
 from saddledoor.exceptions import InvalidDocumentError, UndecodableRecordError
-from saddledoor.tracing import Folded
+from saddledoor.tracing import RecordFolded
 
 from .._state import NodeState
-from .client import LogAwayError, LogClient, LogPage
+from .client import LogClient, LogPage, LogUnavailableError
 
 
 __all__ = ["CONFIG_STREAM", "CONTROL_STREAM", "StreamFollower", "follow_config"]
@@ -88,7 +88,7 @@
                 await self.poll(self.wait if self._next >= 0 else 0.0)
                 self._state.log.note(answered=True)
                 await asyncio.sleep(self._pause)
-            except LogAwayError:
+            except LogUnavailableError:
                 self._state.log.note(answered=False)
                 await asyncio.sleep(_RETRY_WAIT)
 
@@ -96,7 +96,7 @@
         """
         Read once and fold what came.
 
-        :raises LogAwayError: If the log gave no answer.
+        :raises LogUnavailableError: If the log gave no answer.
         """
         page = await self._log.read(self._stream, max(self._next, 0), wait)
         self._take(page)
@@ -105,7 +105,7 @@
         """
         Read everything that the log has now.
 
-        :raises LogAwayError: If the log gave no answer.
+        :raises LogUnavailableError: If the log gave no answer.
         """
         before = -2
         while self._next != before:
@@ -141,8 +141,10 @@
     def apply_config(offset: int, record: Record | None) -> None:
         if record is None:
             return
-        first = state.config_fold.first_read
-        state.trace(Folded(CONFIG_STREAM, offset, 0.0, encode_record(record), first))
+        first = state.config_fold.first_offset
+        state.trace(
+            RecordFolded(CONFIG_STREAM, offset, 0.0, encode_record(record), first)
+        )
         state.config_fold = state.config_fold.apply(offset, record)
         state.offer_config(state.config_fold.accepted)
         if offset in state.config_fold.pending:
@@ -180,7 +182,7 @@
         try:
             await log.append(CONFIG_STREAM, [verdict])
             return
-        except LogAwayError:
+        except LogUnavailableError:
             await asyncio.sleep(_RETRY_WAIT)
 
 
--- a/packages/saddledoord/src/saddledoord/log/leases.py
+++ b/packages/saddledoord/src/saddledoord/log/leases.py
@@ -14,7 +14,7 @@
 
 from .._clock import boot_time
 from .._state import NodeState
-from .client import LogAwayError, LogClient
+from .client import LogClient, LogUnavailableError
 from .follower import CONTROL_STREAM, StreamFollower, new_record_id
 
 
@@ -71,12 +71,12 @@
             return None
         return lease.holder.partition("@")[2]
 
-    def may_take(self, name: str) -> bool:
+    def may_claim(self, name: str) -> bool:
         """
         Tell whether the lease is free, or its holder silent for longer than its term.
         """
         lease = self._state.lease_fold.get(name)
-        return self._state.watch(name).may_take(lease, boot_time())
+        return self._state.watch(name).may_claim(lease, boot_time())
 
     async def take(self, name: str) -> HeldLease | None:
         """
@@ -85,7 +85,7 @@
         lock = self._claiming.setdefault(name, asyncio.Lock())
         async with lock:
             held = self.held(name)
-            if held is not None or not self.may_take(name):
+            if held is not None or not self.may_claim(name):
                 return held
             return await self._claim(name)
 
@@ -95,7 +95,7 @@
         """
         try:
             await self._follower.catch_up()
-        except LogAwayError:
+        except LogUnavailableError:
             pass
 
     async def until_taken(self, names: list[str], timeout: float) -> bool:
@@ -113,17 +113,17 @@
 
     async def _claim(self, name: str) -> HeldLease | None:
         lease = self._state.lease_fold.get(name)
-        seen = lease.last if lease else -1
+        seen = lease.last_offset if lease else -1
         claim = LeaseClaim(new_record_id(), name, self._state.owner, seen)
         before = boot_time()
         try:
             await self._log.append(CONTROL_STREAM, [claim])
-        except LogAwayError:
+        except LogUnavailableError:
             pass
         try:
             # Also after a lost answer: only the log tells whether the claim stands.
             await self._follower.catch_up()
-        except LogAwayError:
+        except LogUnavailableError:
             return None
         lease = self._state.lease_fold.get(name)
         if lease is None or lease.claim_id != claim.record_id:
@@ -154,7 +154,7 @@
         try:
             offset = await self._log.append(CONTROL_STREAM, records)
             await self._follower.catch_up()
-        except LogAwayError:
+        except LogUnavailableError:
             return
         term = self._state.settings.timings.lease_term
         for index, lease in enumerate(held):
@@ -163,7 +163,7 @@
             if (
                 current
                 and current.fence == lease.fence
-                and current.last >= offset + index
+                and current.last_offset >= offset + index
             ):
                 renewed = HeldLease(lease.name, lease.fence, before + term)
                 self._held[lease.name] = renewed
@@ -178,5 +178,5 @@
         try:
             await self._log.append(CONTROL_STREAM, [LeaseRelease(name, held.fence)])
             _log.info("lease_released", lease=name, fence=held.fence)
-        except LogAwayError:
+        except LogUnavailableError:
             pass
--- a/packages/saddledoord/src/saddledoord/observability/burn_feed.py
+++ b/packages/saddledoord/src/saddledoord/observability/burn_feed.py
@@ -11,7 +11,7 @@
 from saddledoor import BurnMeter, BurnTotals, Observation, ResultCode
 
 from .._state import NodeState
-from ..log.client import LogAwayError, LogClient
+from ..log.client import LogClient, LogUnavailableError
 
 
 __all__ = ["BURN_STREAM", "BurnFeed"]
@@ -83,7 +83,7 @@
         )
         try:
             await self._log.append(BURN_STREAM, [record])
-        except LogAwayError:
+        except LogUnavailableError:
             return
         self._written = totals
 
--- a/packages/saddledoord/src/saddledoord/observability/gateway_metrics.py
+++ b/packages/saddledoord/src/saddledoord/observability/gateway_metrics.py
@@ -26,14 +26,14 @@
 
     :param settings: Returns the version of the settings in force.
     :param skipped: Returns counts of such records, by what they hold.
-    :param standstills: Returns the count of those.
+    :param pause_count: Returns the count of those.
     """
 
     def __init__(
         self,
         settings: Callable[[], str],
         skipped: Callable[[], dict[str, int]],
-        standstills: Callable[[], int],
+        pause_count: Callable[[], int],
     ) -> None:
         meter = MeterProvider(metric_readers=[PrometheusMetricReader()]).get_meter(
             "saddledoord"
@@ -54,7 +54,7 @@
         )
         meter.create_observable_counter(
             "saddledoor_standstills",
-            [lambda _: [Observation(standstills())]],
+            [lambda _: [Observation(pause_count())]],
             description="Times that the process did not run for 0.8 s or longer",
         )
         self._seconds = meter.create_histogram(
--- a/packages/saddledoord/src/saddledoord/observability/tracing.py
+++ b/packages/saddledoord/src/saddledoord/observability/tracing.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from saddledoor.tracing import Event, Traced, encode_traced
+from saddledoor.tracing import Event, TracedEvent, encode_traced
 
 from .._clock import boot_time
 
@@ -31,6 +31,6 @@
     file = Path(path).open("a", buffering=1)  # noqa: SIM115
 
     def emit(event: Event) -> None:
-        file.write(encode_traced(Traced(boot_time(), node, event)) + "\n")
+        file.write(encode_traced(TracedEvent(boot_time(), node, event)) + "\n")
 
     return emit
--- a/packages/saddledoord/src/saddledoord/orders/weights.py
+++ b/packages/saddledoord/src/saddledoord/orders/weights.py
@@ -18,18 +18,18 @@
     EngineTable,
     GatewayService,
     ModelWeights,
-    engines_at_once,
-    wanted_loads,
+    max_concurrent_loads,
+    plan_weight_loads,
 )
 
 from .._clock import boot_time
-from ..cluster.lives import EngineLives
+from ..cluster.engine_timeouts import EngineTimeouts
 from ..cluster.view import ClusterView
 from ..duties.lease import DutyLease
 from ..ports import Engines, EngineState, OrderOutcome, VersionOrder
 
 
-__all__ = ["WeightKeeper"]
+__all__ = ["WeightUpdater"]
 
 _log = structlog.get_logger()
 
@@ -79,14 +79,14 @@
     version: int
 
 
-class WeightKeeper:
+class WeightUpdater:
     """
     Gives absolute orders under the lease's fencing number.
 
     Each order names the incarnation and the count of orders the engine has taken, so
     one that is carried out late, after a newer one, is refused by the engine.
 
-    :param keep_runs: Tells of a model whether runs may go on under new weights.
+    :param retain_running: Tells of a model whether runs may go on under new weights.
     :param oldest_allowed: Tells of a model the oldest version that its newest job
         allows.
     """
@@ -95,10 +95,10 @@
         self,
         view: ClusterView,
         engines: Engines,
-        lives: EngineLives,
+        lives: EngineTimeouts,
         lease: DutyLease,
         holder: str,
-        keep_runs: Callable[[str], bool],
+        retain_running: Callable[[str], bool],
         oldest_allowed: Callable[[str], int],
     ) -> None:
         self._view = view
@@ -106,9 +106,9 @@
         self._lives = lives
         self._lease = lease
         self._holder = holder
-        self._keep_runs = keep_runs
+        self._keep_runs = retain_running
         self._oldest_allowed = oldest_allowed
-        self._loaded: EngineTable[_Loaded] = view.memory.table(_Loaded)
+        self._loaded: EngineTable[_Loaded] = view.engine_tables.table(_Loaded)
         self._tasks: set[asyncio.Task] = set()
         self._times: deque[float] = deque(maxlen=_REMEMBERED)
 
@@ -128,8 +128,8 @@
             engines = {engine.engine_id: engine for engine in usable}
             loads = [row.load for row in self._loaded.rows() if row.load is not None]
             under_way = [load for load in loads if load.engine.service == service.name]
-            free = engines_at_once(len(engines)) - len(under_way)
-            for name, model in wanted_loads(self._weights_of(service, engines)):
+            free = max_concurrent_loads(len(engines)) - len(under_way)
+            for name, model in plan_weight_loads(self._weights_of(service, engines)):
                 if free <= 0:
                     break
                 known = self._loaded[engines[name].incarnation]
@@ -220,7 +220,7 @@
             load.version,
             self._holder,
             held.fence,
-            state.orders_taken,
+            state.accepted_orders,
             self._keep_runs(load.model),
         )
         began = boot_time()
@@ -232,13 +232,13 @@
             version=load.version,
             before=state.versions.get(load.model),
             fence=held.fence,
-            orders_taken=state.orders_taken,
+            orders_taken=state.accepted_orders,
             outcome=outcome,
         )
         match outcome:
             case OrderOutcome.FENCED:
                 self._lease.fenced(held.fence)
-            case OrderOutcome.TAKEN | OrderOutcome.UNKNOWN:
+            case OrderOutcome.ACCEPTED | OrderOutcome.UNKNOWN:
                 await self._await_load(load, began)
             case OrderOutcome.CONFLICT | OrderOutcome.REFUSED:
                 self._pause(load)
@@ -264,7 +264,7 @@
         Ask an engine what it holds; what a later life says is not credited to this one.
         """
         state = await self._engines.state(engine)
-        if state is None or state.is_of(engine):
+        if state is None or state.belongs_to(engine):
             return state
         _log.info(
             "report_of_another_life",
--- a/packages/saddledoord/src/saddledoord/peers/client.py
+++ b/packages/saddledoord/src/saddledoord/peers/client.py
@@ -25,7 +25,7 @@
 )
 
 
-__all__ = ["MAX_MESSAGE", "PeerAwayError", "PeerClient"]
+__all__ = ["MAX_MESSAGE", "PeerUnavailableError", "PeerClient"]
 
 #: Largest message between peers, in bytes.
 MAX_MESSAGE = 64_000_000
@@ -45,7 +45,7 @@
 ]
 
 
-class PeerAwayError(Exception):
+class PeerUnavailableError(Exception):
     """
     A peer gave no answer; what it was asked for may have happened.
     """
@@ -93,7 +93,7 @@
         """
         Ask a writer of claims who owns a key; none if the log could not be asked.
 
-        :raises PeerAwayError: If the writer gave no answer.
+        :raises PeerUnavailableError: If the writer gave no answer.
         """
         request = pb.ClaimRequest(
             partition=partition,
@@ -112,7 +112,7 @@
         """
         Ask the owner of a key what became of it; none if it does not know.
 
-        :raises PeerAwayError: If the owner gave no answer.
+        :raises PeerUnavailableError: If the owner gave no answer.
         """
         request = pb.OutcomeRequest(claim_id=claim_id, wait_s=wait)
         reply = await self._unary(address, "Outcome", request, wait + 1.0)
@@ -124,7 +124,7 @@
         """
         Run a call at the VM that issued its key.
 
-        :raises PeerAwayError: If that VM gave no answer; the call may have run.
+        :raises PeerUnavailableError: If that VM gave no answer; the call may have run.
         """
         return answer_from_wire(await self._unary(address, "Call", work, timeout))
 
@@ -173,4 +173,4 @@
         try:
             return await call(request, timeout=timeout, metadata=self._metadata)
         except grpc.aio.AioRpcError as error:
-            raise PeerAwayError(f"{address}: {error.code().name}") from None
+            raise PeerUnavailableError(f"{address}: {error.code().name}") from None
