--- a/packages/saddledoord/src/saddledoord/peers/exchange.py
+++ b/packages/saddledoord/src/saddledoord/peers/exchange.py
@@ -12,20 +12,20 @@
 from dataclasses import replace
 
 from saddledoor import (
-    Accepted,
+    AcceptedConfig,
     MemberEntry,
     PoolSummary,
     SiteSummary,
     rendezvous,
 )
-from saddledoor.tracing import HeardConfig
+from saddledoor.tracing import ConfigReceived
 
 from .._clock import boot_time
 from .._state import NodeState
 from ..backends.watcher import Watcher
 from ..observability.daemon_metrics import Metrics
 from ..wire import peer_pb2 as pb
-from .client import PeerAwayError, PeerClient
+from .client import PeerClient, PeerUnavailableError
 from .wire_types import (
     entry_from_wire,
     entry_to_wire,
@@ -112,7 +112,7 @@
         entry = self._own_entry()
         known = self._state.members.entry(entry.vm)
         now = boot_time()
-        changed = known is None or known.urgent != entry.urgent
+        changed = known is None or known.urgent_state != entry.urgent_state
         if changed or now - self._renewed_at >= self._renew_every:
             self._renewed_at = now
             self._seq += 1
@@ -128,7 +128,7 @@
             http=settings.http,
             grpc=settings.grpc,
             state=self._state.stage,
-            config_offset=self._state.in_force.offset,
+            config_offset=self._state.active_config.offset,
             reports=self._watcher.reports(),
             leases=self._held_leases(),
             grpc_outside=settings.grpc_from_afar,
@@ -172,7 +172,7 @@
         unusable = [r.name for r in reports.values() if r.leaving or not r.alive]
         return SiteSummary(
             data_centre=self._state.data_centre,
-            config_offset=self._state.in_force.offset,
+            config_offset=self._state.active_config.offset,
             at=now,
             pools=tuple(self._slots()),
             peers=tuple(m.grpc_outside for m in live[:_SUMMARY_PEERS]),
@@ -180,7 +180,7 @@
         )
 
     def _newer_config(self, offset: int) -> pb.Config | None:
-        accepted = self._state.in_force.accepted
+        accepted = self._state.active_config.accepted
         if accepted is None or accepted.offset <= offset:
             return None
         return pb.Config(offset=accepted.offset, document=accepted.document)
@@ -223,7 +223,7 @@
         request = self._pull_request()
         try:
             reply = await self._peers.exchange(address, request, _TIMEOUT)
-        except PeerAwayError:
+        except PeerUnavailableError:
             self._metrics.exchanges.add(1, {"outcome": "away"})
             return False
         self._pushed_seq = self._seq
@@ -243,7 +243,7 @@
         return pb.ExchangeRequest(
             vm=state.settings.vm,
             ranks=ranks,
-            config_offset=state.in_force.offset,
+            config_offset=state.active_config.offset,
             site_ages=self._site_ages(),
             own=entry_to_wire(own, boot_time()) if renumbered else None,
         )
@@ -274,11 +274,11 @@
             self._ask_for_list()
             return
         request = pb.SummaryRequest(
-            vm=self._state.settings.vm, config_offset=self._state.in_force.offset
+            vm=self._state.settings.vm, config_offset=self._state.active_config.offset
         )
         try:
             reply = await self._peers.summary(address, request, _TIMEOUT)
-        except PeerAwayError:
+        except PeerUnavailableError:
             self._metrics.exchanges.add(1, {"outcome": "site_away"})
             self._ask_for_list()
             return
@@ -306,9 +306,9 @@
 
     def _take_config(self, reply: pb.ExchangeReply | pb.SummaryReply) -> None:
         if reply.HasField("config"):
-            self._state.trace(HeardConfig(reply.config.offset))
+            self._state.trace(ConfigReceived(reply.config.offset))
             self._state.offer_config(
-                Accepted(reply.config.offset, reply.config.document)
+                AcceptedConfig(reply.config.offset, reply.config.document)
             )
 
     def _count_bytes(self, request: object, reply: object) -> None:
--- a/packages/saddledoord/src/saddledoord/ports/engines.py
+++ b/packages/saddledoord/src/saddledoord/ports/engines.py
@@ -54,13 +54,13 @@
     """
     A back end's whole answer.
 
-    :param mark: The back end's signature of the answer; empty without one.
+    :param signature: The back end's signature of the answer; empty without one.
     """
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    mark: str
+    signature: str
 
 
 @dataclass(frozen=True)
@@ -96,13 +96,13 @@
     #: The engine vouches that it did not start.
     NOT_STARTED = "not_started"
     #: There was no connection to the engine, so it has not run the item.
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     #: Another incarnation answers at the address.
-    MOVED = "moved"
+    WRONG_INCARNATION = "moved"
     #: The engine failed on the item; counts as an attempt.
     FAILED = "failed"
     #: The item can never be done.
-    IMPOSSIBLE = "impossible"
+    REJECTED = "impossible"
     #: Broken off, silent, or not understood.
     BROKEN = "broken"
     #: The whole engine is silent and another one has room.
@@ -122,17 +122,17 @@
     """
     What an engine reports when asked.
 
-    :param orders_taken: Counts the orders since its start.
+    :param accepted_orders: Counts the orders since its start.
     :param started_at: Start of its process, in Unix milliseconds; none if it does not
         say.
     """
 
     versions: dict[str, int]
     busy: bool
-    orders_taken: int
+    accepted_orders: int
     started_at: int | None = None
 
-    def is_of(self, engine: EngineEntry) -> bool:
+    def belongs_to(self, engine: EngineEntry) -> bool:
         """
         Return whether the life that an entry speaks of has told this, as far as both
         say when they began.
@@ -147,8 +147,8 @@
     """
     An absolute order: be at this version of this model.
 
-    :param orders_taken: The count that the engine must still be at.
-    :param keep_runs: Whether running requests go on under the new version; they
+    :param accepted_orders: The count that the engine must still be at.
+    :param retain_running: Whether running requests go on under the new version; they
         finish first otherwise.
     """
 
@@ -156,8 +156,8 @@
     version: int
     holder: str
     fence: int
-    orders_taken: int
-    keep_runs: bool
+    accepted_orders: int
+    retain_running: bool
 
 
 class OrderOutcome:
@@ -165,8 +165,8 @@
     What became of an order, as far as the engine said.
     """
 
-    TAKEN = "taken"
-    HOLDS = "holds"
+    ACCEPTED = "taken"
+    ALREADY_APPLIED = "holds"
     CONFLICT = "conflict"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -201,7 +201,7 @@
         Ask an engine what it holds; none without a usable answer.
         """
 
-    async def is_gone(self, engine: EngineEntry) -> bool:
+    async def has_exited(self, engine: EngineEntry) -> bool:
         """
         Whether nobody serves at an engine's address; false if that is not certain.
         """
--- a/packages/saddledoord/src/saddledoord/ports/store.py
+++ b/packages/saddledoord/src/saddledoord/ports/store.py
@@ -17,35 +17,35 @@
     "Appended",
     "KeyedEntry",
     "KeyedPage",
-    "LARGEST_PAGE",
-    "LogGoneError",
+    "MAX_PAGE_BYTES",
+    "LogTruncatedError",
     "LogPage",
     "NamedVersion",
     "NotAppended",
     "OperatorValue",
     "Registry",
     "SharedLog",
-    "StoreAwayError",
-    "USUAL_PATIENCE",
-    "UnknownAppend",
-    "Unusable",
+    "StoreUnavailableError",
+    "DEFAULT_ANSWER_TIMEOUT",
+    "AppendOutcomeUnknown",
+    "UnusableValue",
 ]
 
 
 #: Most that one read brings unless the reader says otherwise, in bytes.
-LARGEST_PAGE = 1_048_576
+MAX_PAGE_BYTES = 1_048_576
 #: Longest wait for the answer to a read unless the reader says otherwise, in seconds: a
 #: store that is slowed down 60 times takes 0.24 s.
-USUAL_PATIENCE = 1.0
+DEFAULT_ANSWER_TIMEOUT = 1.0
 
 
-class StoreAwayError(Exception):
+class StoreUnavailableError(Exception):
     """
     The store gave no usable answer in time.
     """
 
 
-class LogGoneError(Exception):
+class LogTruncatedError(Exception):
     """
     Records were dropped before they were read.
 
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True)
-class UnknownAppend:
+class AppendOutcomeUnknown:
     """
     The records may be in the log, or may still come into it.
     """
@@ -112,12 +112,12 @@
     """
 
     async def append(
-        self, stream: str, records: Sequence[bytes], patience: float = 1.5
-    ) -> Appended | NotAppended | UnknownAppend:
+        self, stream: str, records: Sequence[bytes], answer_timeout: float = 1.5
+    ) -> Appended | NotAppended | AppendOutcomeUnknown:
         """
         Append all the records in one piece, or none of them.
 
-        :param patience: Longest wait for the answer, in seconds.
+        :param answer_timeout: Longest wait for the answer, in seconds.
         """
 
     async def read(
@@ -125,22 +125,22 @@
         stream: str,
         start: int,
         wait: float = 0.0,
-        largest: int = LARGEST_PAGE,
-        patience: float = USUAL_PATIENCE,
+        max_bytes: int = MAX_PAGE_BYTES,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
     ) -> LogPage:
         """
         Read records from an offset on.
 
         :param wait: How long the log may wait for one, in seconds.
-        :param patience: Longest wait for the answer beyond that, in seconds.
-        :param largest: Most that the answer may hold, in bytes, but for one record.
-        :raises StoreAwayError: If there was no usable answer.
-        :raises LogGoneError: If the records at the offset were dropped.
+        :param answer_timeout: Longest wait for the answer beyond that, in seconds.
+        :param max_bytes: Most that the answer may hold, in bytes, but for one record.
+        :raises StoreUnavailableError: If there was no usable answer.
+        :raises LogTruncatedError: If the records at the offset were dropped.
         """
 
 
 @dataclass(frozen=True)
-class Unusable:
+class UnusableValue:
     """
     Something stands under a key, and it is nothing that may be used.
 
@@ -163,7 +163,7 @@
 
     key: str
     offset: int
-    value: object | Unusable | None
+    value: object | UnusableValue | None
 
 
 @dataclass(frozen=True)
@@ -190,15 +190,15 @@
         """
         Read the newest value of every key.
 
-        :raises StoreAwayError: If there was no usable answer.
+        :raises StoreUnavailableError: If there was no usable answer.
         """
 
     async def changes(self, start: int, wait: float) -> KeyedPage:
         """
         Read the changes from an offset on.
 
-        :raises StoreAwayError: If there was no usable answer.
-        :raises LogGoneError: If they were dropped; `newest` still has the values.
+        :raises StoreUnavailableError: If there was no usable answer.
+        :raises LogTruncatedError: If they were dropped; `newest` still has the values.
         """
 
 
--- a/packages/saddledoord/src/saddledoord/standstills.py
+++ b/packages/saddledoord/src/saddledoord/process_pauses.py
@@ -14,7 +14,7 @@
 from ._clock import boot_time
 
 
-__all__ = ["Looks", "Standstills"]
+__all__ = ["ShutdownPoll", "ProcessPauses"]
 
 _log = structlog.get_logger()
 
@@ -33,7 +33,7 @@
 _LATE_LOOK = 0.1
 
 
-class Looks:
+class ShutdownPoll:
     """
     Looks of a process that would end once nobody waits.
 
@@ -47,7 +47,7 @@
         self._clock = clock
         self._looked_at = float("-inf")
 
-    def is_on_time(self) -> bool:
+    def polled_recently(self) -> bool:
         """
         Look; return whether the look before was shortly before.
         """
@@ -56,7 +56,7 @@
         return passed < _LATE_LOOK
 
 
-class Standstills:
+class ProcessPauses:
     """
     Knows when the last standstill ended, also before any timer has noticed it.
 
@@ -89,7 +89,7 @@
         self._look()
         return self._ended_at
 
-    def held_up(self) -> float:
+    def read_delay(self) -> float:
         """
         Return how long something may have waited that is read now, in seconds.
         """
--- a/packages/saddledoord/src/saddledoord/samples/collector.py
+++ b/packages/saddledoord/src/saddledoord/samples/collector.py
@@ -21,11 +21,11 @@
     Resync,
     Sample,
     Slot,
-    StepBook,
+    StepDelivery,
     Trainer,
     VersionRun,
 )
-from saddledoor.tracing import Fetched, StepOpened
+from saddledoor.tracing import FetchAnswered, StepOpened
 
 from .._clock import boot_time
 from .._state import NodeState
@@ -33,7 +33,7 @@
 from ..log.leases import LeaseKeeper
 from ..observability.burn_feed import BurnFeed
 from ..observability.daemon_metrics import Metrics
-from ..peers.client import PeerAwayError, PeerClient
+from ..peers.client import PeerClient, PeerUnavailableError
 from ..peers.wire_types import outcome_from_code
 from ..wire import peer_pb2 as pb
 from .runner import SampleRunner, StepRun
@@ -102,7 +102,7 @@
         if self._keeper.held(lease) is not None:
             return await self.serve_here(trainer.name, operation, step, payload)
         address = self._keeper.holder_address(lease)
-        if address is not None and not self._keeper.may_take(lease):
+        if address is not None and not self._keeper.may_claim(lease):
             return await self._forward(address, trainer, operation, step, payload)
         if operation != "submit":
             return NotRun(ResultCode.RESYNC, "the trainer has no collector now", 0.0)
@@ -167,7 +167,7 @@
                 if await self._peers.hand_over(address, request, _FORWARD_TIMEOUT):
                     leases.append(collector_lease(trainer))
                 _log.info("step_handed_over", trainer=trainer, step=step, to=address)
-            except PeerAwayError:
+            except PeerUnavailableError:
                 _log.warning("step_not_handed_over", trainer=trainer, step=step)
         return leases
 
@@ -202,7 +202,7 @@
             reply = await self._peers.collect(
                 address, request, _FORWARD_TIMEOUT + _longest_wait(operation)
             )
-        except PeerAwayError as error:
+        except PeerUnavailableError as error:
             # Both operations may be repeated, so "not run" is what the caller may
             # take it for: a repeated one changes nothing.
             return NotRun(ResultCode.NO_COLLECTOR, str(error), 0.3)
@@ -219,7 +219,7 @@
         key = (trainer.name, step)
         before = self._runs.get(key)
         earlier = before.book if before and before.book.fence == held.fence else None
-        book = StepBook.open(
+        book = StepDelivery.open(
             held.fence,
             trainer.staleness_bound,
             [sample.spec for sample in body.samples],
@@ -241,7 +241,7 @@
         )
 
     def _trace_opened(
-        self, trainer: Trainer, step: int, book: StepBook, *, reopened: bool
+        self, trainer: Trainer, step: int, book: StepDelivery, *, reopened: bool
     ) -> None:
         self._state.trace(
             StepOpened(
@@ -261,7 +261,7 @@
         batch = answer if isinstance(answer, Batch) else None
         slots = [(s.slot.group, s.slot.index) for s in batch.samples] if batch else []
         self._state.trace(
-            Fetched(
+            FetchAnswered(
                 trainer.name,
                 step,
                 request.fence,
--- a/packages/saddledoord/src/saddledoord/samples/runner.py
+++ b/packages/saddledoord/src/saddledoord/samples/runner.py
@@ -16,7 +16,7 @@
     Sample,
     SampleSpec,
     Slot,
-    StepBook,
+    StepDelivery,
     Trainer,
     WorkClass,
     longest_first,
@@ -84,7 +84,7 @@
         self._peers = peers
 
     def start(
-        self, trainer: Trainer, step: int, book: StepBook, version: int
+        self, trainer: Trainer, step: int, book: StepDelivery, version: int
     ) -> StepRun:
         """
         Start to fill a step's book.
@@ -145,7 +145,7 @@
         runner: SampleRunner,
         trainer: Trainer,
         step: int,
-        book: StepBook,
+        book: StepDelivery,
         version: int,
     ) -> None:
         self.book = book
@@ -159,7 +159,7 @@
         self._changed = asyncio.Event()
         self._task = asyncio.create_task(self._run())
 
-    def reopen(self, book: StepBook, version: int) -> None:
+    def reopen(self, book: StepDelivery, version: int) -> None:
         """
         Go on with a new book, after the trainer submitted the step again.
         """
--- a/packages/saddledoord/src/saddledoord/serving/admission.py
+++ b/packages/saddledoord/src/saddledoord/serving/admission.py
@@ -10,7 +10,14 @@
 
 import structlog
 
-from saddledoor import Admitted, GatewayRoute, KeyBounds, NotRun, ResultCode, admit
+from saddledoor import (
+    Admitted,
+    GatewayRoute,
+    KeyFreshnessBounds,
+    NotRun,
+    ResultCode,
+    admit,
+)
 
 from .._clock import boot_time
 from ..cluster.view import ClusterView
@@ -33,19 +40,22 @@
     """
 
     def __init__(
-        self, view: ClusterView, known_at: Callable[[], float], bounds: KeyBounds
+        self,
+        view: ClusterView,
+        known_at: Callable[[], float],
+        bounds: KeyFreshnessBounds,
     ) -> None:
         self._view = view
         self._known_at = known_at
         self._bounds = bounds
 
-    def set_bounds(self, bounds: KeyBounds) -> None:
+    def set_bounds(self, bounds: KeyFreshnessBounds) -> None:
         """
         Change the bounds while the node runs.
         """
         self._bounds = bounds
 
-    def to_route(
+    def admit_request(
         self, route: GatewayRoute, key: str, request_id: str
     ) -> Admitted | NotRun:
         """
@@ -56,7 +66,7 @@
         """
         return self._decide(route.needs_key, key, request_id)
 
-    def to_jobs(self, host: str, key: str, job_id: str) -> Admitted | NotRun:
+    def admit_job_call(self, host: str, key: str, job_id: str) -> Admitted | NotRun:
         """
         Decide on a call about a job, which names a host and no route.
         """
--- a/packages/saddledoord/src/saddledoord/serving/engine_choice.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_choice.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable, Iterable
 
-from saddledoor import EngineAttempts, EngineEntry, Incarnation, Standing
+from saddledoor import EngineAttempts, EngineEntry, Incarnation, PoisonStatus
 
 from .._clock import boot_time
-from .engine_ends import EngineEndWatch
+from .engine_crash_watch import EngineCrashWatch
 from .pool import EnginePool
 
 
@@ -26,7 +26,7 @@
     Chooses among the engines of a service for requests that cannot wait.
     """
 
-    def __init__(self, pool: EnginePool, ends: EngineEndWatch) -> None:
+    def __init__(self, pool: EnginePool, ends: EngineCrashWatch) -> None:
         self._pool = pool
         self._ends = ends
 
@@ -38,7 +38,7 @@
 
         :param key: Tells the request from others when it comes again.
         """
-        if not attempts.may_go_on():
+        if not attempts.may_try_another_engine():
             return None
         tried = attempts.engines
 
@@ -54,7 +54,7 @@
         Return an engine that has had a request and may have it again now, or none.
         """
         now = boot_time()
-        rested = {e for e, at in attempts.may_return_at().items() if at <= now}
+        rested = {e for e, at in attempts.earliest_retry_times().items() if at <= now}
 
         def pick(taken: Iterable[Incarnation]) -> EngineEntry | None:
             return self._pool.choose_again(service, rested.difference(taken))
@@ -68,20 +68,20 @@
         Return when an engine may have a request again, monotonic, in seconds, as far as
         is known now; none if none may.
         """
-        returns = attempts.may_return_at()
-        if not returns or self._ends.standing(key) is Standing.BARRED:
+        returns = attempts.earliest_retry_times()
+        if not returns or self._ends.poison_status(key) is PoisonStatus.QUARANTINED:
             return None
         usable = self._pool.returns_at(service)
         times = [max(at, usable[e]) for e, at in returns.items() if e in usable]
         return min(times, default=None)
 
     def _choose(self, key: str, pick: Pick) -> EngineEntry | None:
-        standing = self._ends.standing(key)
-        if standing is Standing.BARRED:
+        poison_status = self._ends.poison_status(key)
+        if poison_status is PoisonStatus.QUARANTINED:
             return None
-        if standing is Standing.FREE:
+        if poison_status is PoisonStatus.CLEAN:
             return pick(())
-        alone = pick(self._ends.with_suspects(key))
-        if alone is not None or standing is Standing.UNCLEAR:
+        alone = pick(self._ends.engines_with_suspects(key))
+        if alone is not None or poison_status is PoisonStatus.AMBIGUOUS:
             return alone
         return pick(())
--- a/packages/saddledoord/src/saddledoord/serving/engine_ends.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
@@ -15,23 +15,23 @@
 import structlog
 
 from saddledoor import (
-    EngineEnded,
-    EngineEnds,
+    EngineCrashed,
+    EngineCrashFold,
     EngineEntry,
-    EngineMemory,
+    EngineTables,
     Incarnation,
+    PoisonStatus,
     RequestsCleared,
-    Standing,
     encode_record,
 )
 
 from .._clock import boot_time
 from ..cluster.leases import CONTROL_STREAM, LeaseLog
-from ..jobs.appending import append_until_done
+from ..jobs.appending import append_until_acknowledged
 from ..ports import Engines, SharedLog
 
 
-__all__ = ["EngineEndWatch", "RunAtEngine"]
+__all__ = ["EngineCrashWatch", "EngineRun"]
 
 _log = structlog.get_logger()
 
@@ -62,7 +62,7 @@
 #: of 16 engines with 16 requests each.
 _MOST_WAITING = 256
 
-_Record = EngineEnded | RequestsCleared
+_Record = EngineCrashed | RequestsCleared
 
 
 @dataclass(eq=False)
@@ -94,30 +94,30 @@
     is_over: bool = False
 
 
-class RunAtEngine:
+class EngineRun:
     """
     Tells the watch what becomes of one request at one engine.
     """
 
-    def __init__(self, watch: EngineEndWatch, life: _Life, run: _Run) -> None:
+    def __init__(self, watch: EngineCrashWatch, life: _Life, run: _Run) -> None:
         self._watch = watch
         self._life = life
         self._run = run
 
-    def survived(self) -> None:
+    def record_completed(self) -> None:
         """
         Note that the engine has run the request and lives.
         """
         self._life.runs.discard(self._run)
         self._watch.note_survived(self._run.key)
 
-    def not_run(self) -> None:
+    def record_not_started(self) -> None:
         """
         Note that the engine has not begun to run the request.
         """
         self._life.runs.discard(self._run)
 
-    def broke_off(self, engine: EngineEntry) -> None:
+    def record_interrupted(self, engine: EngineEntry) -> None:
         """
         Note that the request ended without an answer, and the engine may have as well.
         """
@@ -125,7 +125,7 @@
         self._watch.note_broken(engine, self._life)
 
 
-class EngineEndWatch:
+class EngineCrashWatch:
     """
     Knows which requests were at which engine when it ended, and tells the other nodes.
 
@@ -135,29 +135,33 @@
     """
 
     def __init__(
-        self, engines: Engines, memory: EngineMemory, leases: LeaseLog, log: SharedLog
+        self,
+        engines: Engines,
+        engine_tables: EngineTables,
+        leases: LeaseLog,
+        log: SharedLog,
     ) -> None:
         self._engines = engines
         self._leases = leases
         self._log = log
-        self._ends = EngineEnds()
-        self._lives = memory.table(_Life, self._forgotten)
+        self._ends = EngineCrashFold()
+        self._lives = engine_tables.table(_Life, self._forgotten)
         self._asking: dict[asyncio.Task, _Life] = {}
         self._waiting = deque[_Record](maxlen=_MOST_WAITING)
         self._some = asyncio.Event()
         leases.on_other(self._fold)
 
-    def standing(self, key: str) -> Standing:
+    def poison_status(self, key: str) -> PoisonStatus:
         """
         Return what is known of a request, by `request_key`.
         """
         now = boot_time()
-        standing = self._ends.standing(key, now)
-        if standing is Standing.BARRED:
-            self._tell(self._ends.to_tell_again(key, now))
-        if standing is Standing.FREE and self._has_broken(key):
-            return Standing.SUSPECT
-        return standing
+        poison_status = self._ends.poison_status(key, now)
+        if poison_status is PoisonStatus.QUARANTINED:
+            self._tell(self._ends.crashes_to_republish(key, now))
+        if poison_status is PoisonStatus.CLEAN and self._has_broken(key):
+            return PoisonStatus.SUSPECT
+        return poison_status
 
     def is_current(self) -> bool:
         """
@@ -168,7 +172,7 @@
         """
         return boot_time() - self._leases.asked_at <= _STALE
 
-    async def ask(self) -> None:
+    async def refresh(self) -> None:
         """
         Learn what others have told if this node may have missed it; for a short while.
         """
@@ -182,7 +186,7 @@
         if not is_known:
             _log.info("engine_ends_not_asked", known=len(self._ends))
 
-    def with_suspects(self, key: str) -> set[Incarnation]:
+    def engines_with_suspects(self, key: str) -> set[Incarnation]:
         """
         Return the engines that run other suspects of this node's.
 
@@ -195,7 +199,7 @@
         }
 
     @contextmanager
-    def running(self, engine: Incarnation, key: str) -> Iterator[RunAtEngine]:
+    def track_run(self, engine: Incarnation, key: str) -> Iterator[EngineRun]:
         """
         Have a request watched while it is at an engine.
         """
@@ -204,10 +208,10 @@
         run = _Run(key, boot_time())
         life.runs.add(run)
         timer = None
-        if self.standing(key) is not Standing.FREE:
+        if self.poison_status(key) is not PoisonStatus.CLEAN:
             timer = asyncio.get_running_loop().call_later(_SOON, self._lasted, run)
         try:
-            yield RunAtEngine(self, life, run)
+            yield EngineRun(self, life, run)
         finally:
             run.left = boot_time()
             self._drop_old(life)
@@ -218,7 +222,7 @@
         """
         Take back what speaks against a request.
         """
-        if self._ends.speaks_against(key):
+        if self._ends.is_implicated(key):
             self._tell([RequestsCleared((key,))])
 
     def note_broken(self, engine: EngineEntry, life: _Life) -> None:
@@ -244,10 +248,10 @@
                 count = min(len(self._waiting), _MOST_AT_ONCE)
                 batch = [self._waiting.popleft() for _ in range(count)]
                 records = [encode_record(record).encode() for record in batch]
-                await append_until_done(self._log, CONTROL_STREAM, records)
+                await append_until_acknowledged(self._log, CONTROL_STREAM, records)
 
     async def _find_out(self, engine: EngineEntry, life: _Life) -> None:
-        if await self._engines.is_gone(engine):
+        if await self._engines.has_exited(engine):
             self._over(life, life.broke_at or boot_time())
         # Whatever breaks off from now on is asked about anew.
         life.broke_at = None
@@ -277,7 +281,7 @@
         _log.info("engine_ended", engine=life.engine.engine_id, requests=keys)
         self._tell(
             [
-                EngineEnded(
+                EngineCrashed(
                     life.engine.engine_id,
                     life.engine.started_at,
                     tuple(keys[first : first + _MOST_REQUESTS]),
@@ -317,7 +321,7 @@
     def _is_other_suspect(self, run: _Run, key: str) -> bool:
         if run.left is not None or run.key == key:
             return False
-        return self._ends.standing(run.key, boot_time()) is not Standing.FREE
+        return self._ends.poison_status(run.key, boot_time()) is not PoisonStatus.CLEAN
 
     def _drop_old(self, life: _Life) -> None:
         """
--- a/packages/saddledoord/src/saddledoord/serving/outcomes.py
+++ b/packages/saddledoord/src/saddledoord/serving/outcomes.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from saddledoor import (
-    AttemptEnd,
+    AttemptOutcome,
     EngineEntry,
     GatewayRoute,
     NotRun,
@@ -16,7 +16,7 @@
 )
 
 from ..ports import EngineAnswer, UnusableAnswer
-from .engine_ends import RunAtEngine
+from .engine_crash_watch import EngineRun
 
 
 __all__ = ["Outcome", "describe", "end_of", "is_final", "note_end"]
@@ -37,35 +37,35 @@
             return route.kind is not RouteKind.SAFE
 
 
-def note_end(run: RunAtEngine, engine: EngineEntry, outcome: Outcome) -> None:
+def note_end(run: EngineRun, engine: EngineEntry, outcome: Outcome) -> None:
     """
     Tell the watch over engines that end what became of a request there.
     """
     match outcome:
         case EngineAnswer():
-            run.survived()
+            run.record_completed()
         case NotRun():
-            run.not_run()
+            run.record_not_started()
         case UnusableAnswer():
             # It answered, so it need not be asked whether it has ended.
             pass
         case OutcomeUnknown():
-            run.broke_off(engine)
+            run.record_interrupted(engine)
 
 
-def end_of(outcome: Outcome) -> AttemptEnd:
+def end_of(outcome: Outcome) -> AttemptOutcome:
     """
     Return how an attempt ended that had an outcome which is not final.
     """
     match outcome:
         case EngineAnswer():
-            return AttemptEnd.FAILED
+            return AttemptOutcome.FAILED
         case NotRun():
-            return AttemptEnd.NOT_RUN
+            return AttemptOutcome.NOT_RUN
         case UnusableAnswer():
-            return AttemptEnd.UNUSABLE
+            return AttemptOutcome.UNUSABLE
         case OutcomeUnknown():
-            return AttemptEnd.BROKEN
+            return AttemptOutcome.BROKEN
 
 
 def describe(outcome: Outcome) -> str:
--- a/packages/saddledoord/src/saddledoord/serving/pace.py
+++ b/packages/saddledoord/src/saddledoord/serving/pace.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from saddledoor import EngineMemory, Incarnation
+from saddledoor import EngineTables, Incarnation
 
 
 __all__ = ["EnginePaces"]
@@ -44,8 +44,8 @@
     Running means of the gap between two events of one stream, by engine.
     """
 
-    def __init__(self, memory: EngineMemory) -> None:
-        self._paces = memory.table(_Pace)
+    def __init__(self, engine_tables: EngineTables) -> None:
+        self._paces = engine_tables.table(_Pace)
 
     def observe(self, engine: Incarnation, gap: float | None, now: float) -> None:
         """
--- a/packages/saddledoord/src/saddledoord/serving/pass_through.py
+++ b/packages/saddledoord/src/saddledoord/serving/pass_through.py
@@ -14,27 +14,27 @@
 import structlog
 
 from saddledoor import (
-    AttemptEnd,
+    AttemptOutcome,
     EngineAttempt,
     EngineAttempts,
     EngineEntry,
     GatewayRoute,
     NotRun,
     OutcomeUnknown,
+    PoisonStatus,
     ResultCode,
     RouteKind,
-    Standing,
     request_key,
     time_left,
 )
 
 from .._clock import boot_time
-from ..cluster.lives import EngineLives
+from ..cluster.engine_timeouts import EngineTimeouts
 from ..cluster.view import ClusterView
 from ..ports import EngineAnswer, Engines, ForwardedRequest
 from .admission import Admission
 from .engine_choice import EngineChoice
-from .engine_ends import EngineEndWatch
+from .engine_crash_watch import EngineCrashWatch
 from .outcomes import Outcome, describe, end_of, is_final, note_end
 from .pool import EnginePool
 from .request_try import Beginning, RequestTry
@@ -86,7 +86,8 @@
     :param count: Told the route, the result and the seconds of each request.
     :param began: Told the workspace of each request that engines began, and when,
         monotonic, in seconds.
-    :param held_up: Returns how long a request that is read now may have waited for it.
+    :param read_delay: Returns how long a request that is read now may have waited for
+        it.
     """
 
     def __init__(
@@ -94,12 +95,12 @@
         view: ClusterView,
         pool: EnginePool,
         engines: Engines,
-        lives: EngineLives,
-        ends: EngineEndWatch,
+        lives: EngineTimeouts,
+        ends: EngineCrashWatch,
         admission: Admission,
         count: Callable[[str, ResultCode, float], None],
         began: Callable[[str, float], None] = _pass_over,
-        held_up: Callable[[], float] = _not_at_all,
+        read_delay: Callable[[], float] = _not_at_all,
     ) -> None:
         self._admission = admission
         self._began = began
@@ -110,18 +111,18 @@
         self._pool = pool
         self._engines = engines
         self._count = count
-        self._held_up = held_up
+        self._held_up = read_delay
 
     async def serve(
-        self, request: ForwardedRequest, patience: float | None, key: str = ""
+        self, request: ForwardedRequest, caller_timeout: float | None, key: str = ""
     ) -> Outcome:
         """
         Serve one request.
 
-        :param patience: How long the caller will wait, in seconds, if it said so.
+        :param caller_timeout: How long the caller will wait, in seconds, if it said so.
         :param key: Of the caller's workspace; empty without one.
         """
-        began, held_up = boot_time(), self._held_up()
+        began, read_delay = boot_time(), self._held_up()
         if self._view.config is None:
             return NotRun(ResultCode.NO_CONFIGURATION, "no configuration", _COME_BACK)
         route = self._view.route(request.host, request.target.partition("?")[0])
@@ -133,7 +134,7 @@
                 configuration=self._view.config.version,
             )
             return NotRun(ResultCode.UNKNOWN_TARGET, "no route", _COME_BACK)
-        admitted = self._admission.to_route(route, key, request.request_id)
+        admitted = self._admission.admit_request(route, key, request.request_id)
         if isinstance(admitted, NotRun):
             self._count(route.name, admitted.code, boot_time() - began)
             return admitted
@@ -142,8 +143,12 @@
             repeatable=route.kind is RouteKind.SAFE,
             workspace=admitted.workspace,
         )
-        limit = route.timeout if patience is None else min(patience, route.timeout)
-        held = time_left(limit, route.objective, held_up)
+        limit = (
+            route.timeout
+            if caller_timeout is None
+            else min(caller_timeout, route.timeout)
+        )
+        held = time_left(limit, route.objective, read_delay)
         beginning = Beginning()
         try:
             outcome = await self.run(route, request, began + held, beginning=beginning)
@@ -160,7 +165,7 @@
         route: GatewayRoute,
         request: ForwardedRequest,
         deadline: float,
-        heard: Callable[[Outcome], None] = _ignore,
+        on_outcome: Callable[[Outcome], None] = _ignore,
         name: str = "",
         may_begin: Callable[[], bool] = _always,
         beginning: Beginning | None = None,
@@ -168,7 +173,7 @@
         """
         Run a request of a known route until a monotonic time.
 
-        :param heard: Told of each attempt's outcome.
+        :param on_outcome: Told of each attempt's outcome.
         :param name: Of a request that keeps its name when it is sent again.
         :param may_begin: Asked before each attempt; none begins while it may not.
         :param beginning: Learns when engines began the request.
@@ -180,14 +185,14 @@
             route,
             request,
             deadline,
-            heard,
+            on_outcome,
             key,
             service,
             attempts,
             may_begin,
             beginning or Beginning(),
         )
-        await self._ends.ask()
+        await self._ends.refresh()
         pending: set[asyncio.Task[Outcome]] = set()
         try:
             while current.left > _LEAST_TIME:
@@ -261,7 +266,7 @@
         asked = list(current.engines)
         for task in asked[: asked.index(winner)]:
             if task in pending:
-                self._pool.overtaken(current.engines[task])
+                self._pool.record_overtaken(current.engines[task])
 
     def _may_overlap(self, current: RequestTry) -> bool:
         """
@@ -271,7 +276,7 @@
         """
         if current.route.kind is not RouteKind.SAFE:
             return False
-        return self._ends.standing(current.key) is Standing.FREE
+        return self._ends.poison_status(current.key) is PoisonStatus.CLEAN
 
     def _patience(self, current: RequestTry) -> float:
         """
@@ -282,7 +287,7 @@
             return min(left, _LOOK)
         if not self._may_overlap(current):
             return left
-        if not current.attempts.may_go_on():
+        if not current.attempts.may_try_another_engine():
             return left
         return min(left, current.route.objective * _OVERLAP_AFTER)
 
@@ -291,13 +296,13 @@
     ) -> Outcome:
         if not current.may_begin():
             # The process has stood still since the attempt was decided on.
-            attempt.finish(AttemptEnd.NOT_RUN, boot_time())
+            attempt.finish(AttemptOutcome.NOT_RUN, boot_time())
             return NotRun(ResultCode.NO_BACKEND, "not sent: what is known is too old")
         number = current.attempts.count
         sent_at = boot_time()
         with (
-            self._pool.take(engine),
-            self._ends.running(engine.incarnation, current.key) as run,
+            self._pool.reserve(engine),
+            self._ends.track_run(engine.incarnation, current.key) as run,
         ):
             try:
                 left = max(0.0, current.left)
@@ -314,16 +319,16 @@
             else:
                 note_end(run, engine, outcome)
         attempt.finish(end_of(outcome), boot_time())
-        current.heard(outcome)
+        current.on_outcome(outcome)
         match outcome:
             case EngineAnswer():
                 current.beginning.certainly(sent_at)
-                self._pool.answered(engine)
+                self._pool.record_success(engine)
             case NotRun():
-                self._pool.refused(engine)
+                self._pool.record_refusal(engine)
             case OutcomeUnknown():
                 current.beginning.perhaps(sent_at)
-                self._pool.failed(engine)
+                self._pool.record_failure(engine)
         if not isinstance(outcome, EngineAnswer) or outcome.status >= 500:
             self._log_attempt(current, engine, number, describe(outcome))
         if not isinstance(outcome, NotRun):
@@ -334,7 +339,7 @@
         """
         Say why an attempt was given up; the engine may have run the request.
         """
-        over = self._lives.is_over(engine.incarnation)
+        over = self._lives.has_restarted(engine.incarnation)
         reason = "the engine has started again" if over else "no answer in time"
         return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, reason)
 
@@ -353,7 +358,7 @@
 
     def _give_up(self, current: RequestTry) -> Outcome:
         outcome = current.last
-        barred = self._ends.standing(current.key) is Standing.BARRED
+        barred = self._ends.poison_status(current.key) is PoisonStatus.QUARANTINED
         if outcome is None and barred:
             code = ResultCode.ENDS_ENGINES
             outcome = NotRun(code, "engines have ended under it", _FORGOTTEN_AFTER)
--- a/packages/saddledoord/src/saddledoord/serving/pool.py
+++ b/packages/saddledoord/src/saddledoord/serving/pool.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from saddledoor import Candidate, Choose, EngineEntry, Incarnation
+from saddledoor import Candidate, EngineEntry, Incarnation, RoutingPolicy
 
 from .._clock import boot_time
 from ..cluster.view import ClusterView
 
 
-__all__ = ["EnginePool", "Place"]
+__all__ = ["EnginePool", "Reservation"]
 
 #: First and longest time for which an engine that refused gets no new work of the same
 #: kind, in seconds, doubled each time: a part of what a load of weights takes (0.9 s),
@@ -35,7 +35,7 @@
 _OVERTAKEN_PAUSE = 4.0
 
 
-class Place:
+class Reservation:
     """
     A request's place at an engine, given back once.
     """
@@ -51,7 +51,7 @@
         if give_back is not None:
             give_back()
 
-    def __enter__(self) -> Place:
+    def __enter__(self) -> Reservation:
         return self
 
     def __exit__(self, *exc_info) -> None:
@@ -78,7 +78,7 @@
     """
     What this node has at an engine, and how the engine has done.
 
-    :param own: Requests in flight, a count.
+    :param in_flight: Requests in flight, a count.
     :param paused_until: After failures, monotonic, in seconds.
     :param overtaken_until: While it is asked after the others, monotonic, in seconds.
     :param failures: In a row, a count.
@@ -87,7 +87,7 @@
         monotonic, in seconds.
     """
 
-    own: int = 0
+    in_flight: int = 0
     paused_until: float = 0.0
     overtaken_until: float = 0.0
     failures: int = 0
@@ -123,10 +123,10 @@
     :param choose: The policy among candidates.
     """
 
-    def __init__(self, view: ClusterView, choose: Choose) -> None:
+    def __init__(self, view: ClusterView, choose: RoutingPolicy) -> None:
         self._view = view
         self._choose = choose
-        self._uses = view.memory.table(_Use)
+        self._uses = view.engine_tables.table(_Use)
 
     def choose(
         self, service: str, exclude: Iterable[Incarnation] = (), kind: str = ""
@@ -179,7 +179,7 @@
         """
         self._use(engine).return_at = boot_time() + _RETURN_SPACING
 
-    def with_room(self, service: str, kind: str) -> list[EngineEntry]:
+    def with_free_slots(self, service: str, kind: str) -> list[EngineEntry]:
         """
         Return the engines whose slots this node has not filled and that take requests
         of a kind.
@@ -188,27 +188,28 @@
         return [
             engine
             for engine in self._view.directory.usable(service, now)
-            if self._use(engine).own < engine.slots and self._rested(engine, kind, now)
+            if self._use(engine).in_flight < engine.slots
+            and self._rested(engine, kind, now)
         ]
 
-    def own(self, engine: EngineEntry) -> int:
+    def in_flight(self, engine: EngineEntry) -> int:
         """
         Return how many requests this node has at an engine, a count.
         """
-        return self._use(engine).own
+        return self._use(engine).in_flight
 
-    def take(self, engine: EngineEntry, kind: str = "") -> Place:
+    def reserve(self, engine: EngineEntry, kind: str = "") -> Reservation:
         """
         Take a place at an engine at once, so that the next choice counts it.
         """
         use = self._use(engine)
-        use.own += 1
+        use.in_flight += 1
         refusal = use.refusals.get(kind)
         if refusal is not None:
             refusal.on_trial = True
-        return Place(lambda: _give_back(use, refusal))
+        return Reservation(lambda: _give_back(use, refusal))
 
-    def answered(self, engine: EngineEntry, kind: str = "") -> None:
+    def record_success(self, engine: EngineEntry, kind: str = "") -> None:
         """
         Note that an engine works, and takes requests of a kind.
         """
@@ -218,7 +219,7 @@
         use.paused_until = 0.0
         use.return_at = 0.0
 
-    def refused(self, engine: EngineEntry, kind: str = "") -> None:
+    def record_refusal(self, engine: EngineEntry, kind: str = "") -> None:
         """
         Note that an engine takes no requests of a kind just now.
         """
@@ -227,13 +228,13 @@
         refusal.count += 1
         refusal.until = boot_time() + pause
 
-    def overtaken(self, engine: EngineEntry) -> None:
+    def record_overtaken(self, engine: EngineEntry) -> None:
         """
         Note that another engine was asked later and answered first.
         """
         self._use(engine).overtaken_until = boot_time() + _OVERTAKEN_PAUSE
 
-    def failed(self, engine: EngineEntry) -> None:
+    def record_failure(self, engine: EngineEntry) -> None:
         """
         Note that an engine did not answer, or not as it should.
         """
@@ -246,7 +247,7 @@
         if not engines:
             return None
         candidates = [
-            Candidate(engine_id, max(1, engine.slots), self._use(engine).own)
+            Candidate(engine_id, max(1, engine.slots), self._use(engine).in_flight)
             for engine_id, engine in engines.items()
         ]
         return engines[self._choose(candidates).name]
@@ -259,6 +260,6 @@
 
 
 def _give_back(use: _Use, refusal: _Refusal | None) -> None:
-    use.own -= 1
+    use.in_flight -= 1
     if refusal is not None:
         refusal.on_trial = False
--- a/packages/saddledoord/src/saddledoord/serving/request_try.py
+++ b/packages/saddledoord/src/saddledoord/serving/request_try.py
@@ -54,7 +54,7 @@
     """
     Who had a request, until when, and the worst that was seen.
 
-    :param heard: Told of each attempt's outcome.
+    :param on_outcome: Told of each attempt's outcome.
     :param key: Tells it from others when it comes again.
     :param attempts: Where it has been.
     :param may_begin: Asked before each attempt; none begins while it may not.
@@ -65,7 +65,7 @@
     route: GatewayRoute
     request: ForwardedRequest
     deadline: float
-    heard: Callable[[Outcome], None]
+    on_outcome: Callable[[Outcome], None]
     key: str
     service: str
     attempts: EngineAttempts
--- a/packages/saddledoord/src/saddledoord/serving/silence.py
+++ b/packages/saddledoord/src/saddledoord/serving/unresponsive_engines.py
@@ -10,13 +10,13 @@
 
 import structlog
 
-from saddledoor import EngineEntry, EngineMemory, Incarnation
+from saddledoor import EngineEntry, EngineTables, Incarnation
 
 from .._clock import boot_time
 from ..ports import Engines
 
 
-__all__ = ["SilentEngines"]
+__all__ = ["UnresponsiveEngines"]
 
 _log = structlog.get_logger()
 
@@ -29,7 +29,7 @@
 _LIMIT = 10.0
 
 
-class SilentEngines:
+class UnresponsiveEngines:
     """
     Asks engines that have failed for a report, and leaves them out until they give one.
 
@@ -38,11 +38,11 @@
     texts that steps waited for tried up to three silent engines, 1 s each.
     """
 
-    def __init__(self, engines: Engines, memory: EngineMemory) -> None:
+    def __init__(self, engines: Engines, engine_tables: EngineTables) -> None:
         self._engines = engines
-        self._asking = memory.table(set, _cancel)
+        self._asking = engine_tables.table(set, _cancel)
 
-    def note(self, engine: EngineEntry) -> None:
+    def probe(self, engine: EngineEntry) -> None:
         """
         Leave an engine out until it answers.
         """
@@ -59,7 +59,7 @@
         began = boot_time()
         while boot_time() < began + _LIMIT:
             state = await self._engines.state(engine)
-            if state is not None and state.is_of(engine):
+            if state is not None and state.belongs_to(engine):
                 break
             await asyncio.sleep(_PAUSE)
         _log.info(
--- a/tests/adapter/standin_engine.py
+++ b/tests/adapter/standin_engine.py
@@ -86,7 +86,7 @@
     version: int = 1
     busy: bool = False
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)
-    orders_taken: int = 0
+    accepted_orders: int = 0
     top_fence: int = -1
     faults: _Faults = field(default_factory=_Faults)
     runs: list[_Run] = field(default_factory=list)
@@ -190,7 +190,7 @@
                 "stage": "both",
                 "models": [{"name": self.model, "version": self.version}],
                 "busy": self.busy,
-                "seq_no": self.orders_taken,
+                "seq_no": self.accepted_orders,
                 "born": self.born,
             }
         )
@@ -214,11 +214,14 @@
         if order["fence_token"] < self.top_fence:
             return 412
         self.top_fence = order["fence_token"]
-        if self.busy or order.get("if_rev", self.orders_taken) != self.orders_taken:
+        if (
+            self.busy
+            or order.get("if_rev", self.accepted_orders) != self.accepted_orders
+        ):
             return 409
         if order["version"] == self.version:
             return 200
-        self.orders_taken += 1
+        self.accepted_orders += 1
         self._spawn(self._load(order["version"]))
         return 202
 
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -32,7 +32,7 @@
 )
 from platform_documents import make_config, make_job
 from saddledoor import ItemResult, StoredText
-from saddledoord.jobs.service import JobReading, ReadResult
+from saddledoord.jobs.service import JobResultsPage, ResultWithText
 
 
 def _entry(data: bytes) -> object:
@@ -312,7 +312,9 @@
     Whatever its texts are made of; what does not fit is left to the next reading.
     """
     texts = ["\n" * 300_000] * 3
-    reading = JobReading(9, 5, tuple(_read(n, text) for n, text in enumerate(texts)))
+    reading = JobResultsPage(
+        9, 5, tuple(_read(n, text) for n, text in enumerate(texts))
+    )
     answer = encode_reading(reading)
     assert len(answer) < 1_000_000
     body = json.loads(answer)
@@ -325,7 +327,7 @@
     """
     However long its text is, since the reader would ask for it again for ever.
     """
-    reading = JobReading(1, 1, (_read(0, "\n" * 600_000),))
+    reading = JobResultsPage(1, 1, (_read(0, "\n" * 600_000),))
     body = json.loads(encode_reading(reading))
     assert [result["message"] for result in body["results"]] == ["\n" * 600_000]
     assert body["next_token"] == 1
@@ -335,13 +337,15 @@
     """
     Nothing is listed from the position on.
     """
-    body = json.loads(encode_reading(JobReading(4, 2, ())))
+    body = json.loads(encode_reading(JobResultsPage(4, 2, ())))
     assert body == {"total": 4, "next_token": 2, "results": []}
 
 
-def _read(number: int, text: str) -> ReadResult:
+def _read(number: int, text: str) -> ResultWithText:
     stored = StoredText((number,), len(text))
-    return ReadResult(ItemResult(f"item-{number}", True, stored, (1,), "mark"), text)
+    return ResultWithText(
+        ItemResult(f"item-{number}", True, stored, (1,), "mark"), text
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/adapter/test_documents_properties.py
+++ b/tests/adapter/test_documents_properties.py
@@ -37,7 +37,7 @@
     encode_job_items,
     encode_job_record,
 )
-from saddledoord.ports import EngineState, KeyedPage, NamedVersion, Unusable
+from saddledoord.ports import EngineState, KeyedPage, NamedVersion, UnusableValue
 from store import StoreRegistry
 from store_documents import KeyedStore, make_record, make_row
 
@@ -132,7 +132,7 @@
     assert isinstance(report, EngineState)
     assert _hold_versions(report.versions)
     assert type(report.busy) is bool
-    assert _is_whole(report.orders_taken)
+    assert _is_whole(report.accepted_orders)
     assert report.started_at is None or _is_whole(report.started_at)
 
 
@@ -166,7 +166,7 @@
             table.find(route.host, route.path_prefix) is not None or ":" in route.host
         )
         assert _is_text(route.service(0.5))
-        times = (route.timeout, route.objective, route.give_up_after or 0.0)
+        times = (route.timeout, route.objective, route.max_item_age or 0.0)
         assert all(_is_finite(time) for time in times)
         assert _is_whole(route.max_attempts) and _is_whole(route.rank)
     for name, service in config.services.items():
@@ -193,7 +193,9 @@
 
 def _is_sound(page: KeyedPage) -> bool:
     values = [entry.value for entry in page.entries]
-    return all(isinstance(value, EngineEntry | Unusable | None) for value in values)
+    return all(
+        isinstance(value, EngineEntry | UnusableValue | None) for value in values
+    )
 
 
 @_quick
--- a/tests/adapter/test_engine_gone.py
+++ b/tests/adapter/test_engine_gone.py
@@ -38,7 +38,7 @@
         client = EngineClient.open()
         try:
             entry = make_engine_entry("engine-0", address=f"{host}:{port}")
-            return await client.is_gone(entry)
+            return await client.has_exited(entry)
         finally:
             await client.close()
             server.close()
--- a/tests/adapter/test_registry.py
+++ b/tests/adapter/test_registry.py
@@ -16,7 +16,7 @@
 from saddledoord._clock import boot_time
 from saddledoord.cluster.follow import RegistryFollower
 from saddledoord.cluster.view import ClusterView
-from saddledoord.ports import KeyedPage, StoreAwayError, Unusable
+from saddledoord.ports import KeyedPage, StoreUnavailableError, UnusableValue
 from store import StoreRegistry
 from store_documents import KeyedStore, make_record, make_row
 
@@ -38,7 +38,7 @@
 
 
 def _usable_keys(page: KeyedPage) -> list[str]:
-    return [e.key for e in page.entries if not isinstance(e.value, Unusable)]
+    return [e.key for e in page.entries if not isinstance(e.value, UnusableValue)]
 
 
 async def _followed(registry: StoreRegistry, view: ClusterView) -> asyncio.Task:
@@ -127,7 +127,7 @@
     """
     Taken for the whole list, it would remove the engines on later pages.
     """
-    with pytest.raises(StoreAwayError):
+    with pytest.raises(StoreUnavailableError):
         _newest([None], [make_row("b", _GOOD, 1)])
 
 
@@ -198,7 +198,7 @@
     (good, spoilt) = _changes(make_record(b"a", _GOOD), make_record(b"a", _BAD)).entries
     view.apply_engine(good)
     view.store_reached(True)
-    view.engines_replaced(set())
+    view.retain_engines(set())
     assert len(view.directory.usable("pool", boot_time())) == 1
     view.apply_engine(spoilt)
     assert view.directory.usable("pool", boot_time()) == []
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -126,19 +126,19 @@
     return Job(job_id, "desk.example", "/train/x", "model-a", 1, 1, 1, made)
 
 
-def make_opened(job: Job, *offsets: int) -> JobOpened:
+def make_job_opened(job: Job, *offsets: int) -> JobOpened:
     """
     Return the record that opens a job whose items stand at some offsets.
     """
     return JobOpened.of(job, StoredText(offsets or (0,), 100))
 
 
-def make_job_state(job: Job, known_since: float = 0.0) -> JobState:
+def make_job_state(job: Job, first_seen_at: float = 0.0) -> JobState:
     """
     Return a job whose items this node has read.
     """
     items = {item.item_id: item for item in job.items}
-    return JobState(make_opened(job), 1, known_since, items)
+    return JobState(make_job_opened(job), 1, first_seen_at, items)
 
 
 def make_route(prefix: str, **changes: object) -> GatewayRoute:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from beds import QUICK
 from saddledoor_standins.testbed import Shape, Testbed
+from testbed_helpers import QUICK
 
 
 @pytest.fixture
--- a/tests/end_watches.py
+++ b/tests/crash_watches.py
@@ -8,21 +8,21 @@
 
 from collections.abc import Callable
 
-from saddledoor import EngineEnded, RequestsCleared, encode_record
+from saddledoor import EngineCrashed, RequestsCleared, encode_record
 from saddledoord._clock import boot_time
 from saddledoord.cluster.view import ClusterView
 from saddledoord.ports import Appended
-from saddledoord.serving.engine_ends import EngineEndWatch
+from saddledoord.serving.engine_crash_watch import EngineCrashWatch
 
 
-__all__ = ["Told", "make_end_watch"]
+__all__ = ["Told", "make_crash_watch"]
 
 
 class _Engines:
     def __init__(self, gone: bool) -> None:
         self._gone = gone
 
-    async def is_gone(self, engine) -> bool:
+    async def has_exited(self, engine) -> bool:
         return self._gone
 
 
@@ -37,7 +37,7 @@
 
     def __init__(self, asked_at: float = float("inf")) -> None:
         self.asked_at = asked_at
-        self.missed: list[EngineEnded | RequestsCleared] = []
+        self.missed: list[EngineCrashed | RequestsCleared] = []
         self.records: list[bytes] = []
         self._fold: Callable[[object], None] = lambda record: None
 
@@ -50,27 +50,27 @@
         self.asked_at = boot_time()
         return True
 
-    async def append(self, stream, records, patience=1.0) -> Appended:
+    async def append(self, stream, records, answer_timeout=1.0) -> Appended:
         self.records += records
         return Appended(0)
 
-    def hear(self, record: EngineEnded | RequestsCleared) -> None:
+    def hear(self, record: EngineCrashed | RequestsCleared) -> None:
         """
         Have the watch read a record.
         """
         self._fold(record)
 
-    def holds(self, record: EngineEnded | RequestsCleared) -> bool:
+    def holds(self, record: EngineCrashed | RequestsCleared) -> bool:
         return encode_record(record).encode() in self.records
 
 
-def make_end_watch(
+def make_crash_watch(
     view: ClusterView, told: Told | None = None, gone: bool = False
-) -> EngineEndWatch:
+) -> EngineCrashWatch:
     """
     Return a watch.
 
     :param gone: Whether engines that are asked are found to be gone.
     """
     told = told or Told()
-    return EngineEndWatch(_Engines(gone), view.memory, told, told)
+    return EngineCrashWatch(_Engines(gone), view.engine_tables, told, told)
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -11,12 +11,12 @@
 from collections.abc import Sequence
 
 from saddledoord.ports import (
-    LARGEST_PAGE,
-    USUAL_PATIENCE,
+    DEFAULT_ANSWER_TIMEOUT,
+    MAX_PAGE_BYTES,
     Appended,
+    AppendOutcomeUnknown,
     LogPage,
-    StoreAwayError,
-    UnknownAppend,
+    StoreUnavailableError,
 )
 
 
@@ -42,19 +42,19 @@
         self._largest_record = largest_record
 
     async def append(
-        self, stream: str, records: Sequence[bytes], patience: float = 1.5
-    ) -> Appended | UnknownAppend:
+        self, stream: str, records: Sequence[bytes], answer_timeout: float = 1.5
+    ) -> Appended | AppendOutcomeUnknown:
         assert records
         assert all(len(record) <= self._largest_record for record in records)
         self.appends += records
         await asyncio.sleep(0)
         if self.away:
-            return UnknownAppend("away")
+            return AppendOutcomeUnknown("away")
         offset = len(self.records[stream])
         self.records[stream] += records
         if self.lose > 0:
             self.lose -= 1
-            return UnknownAppend("no answer")
+            return AppendOutcomeUnknown("no answer")
         return Appended(offset)
 
     async def read(
@@ -62,18 +62,18 @@
         stream: str,
         start: int,
         wait: float = 0.0,
-        largest: int = LARGEST_PAGE,
-        patience: float = USUAL_PATIENCE,
+        max_bytes: int = MAX_PAGE_BYTES,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
     ) -> LogPage:
         self.reads[stream] += 1
         # With a wait the newest records come at once; without news the wait passes.
         end = len(self.records[stream])
         await asyncio.sleep(wait if start >= end else 0)
         if self.away:
-            raise StoreAwayError("away")
+            raise StoreUnavailableError("away")
         chosen: list[bytes] = []
         for record in self.records[stream][start:]:
-            if chosen and sum(map(len, chosen)) + len(record) > largest:
+            if chosen and sum(map(len, chosen)) + len(record) > max_bytes:
                 break
             chosen.append(record)
         return LogPage(start, tuple(chosen), len(self.records[stream]))
--- a/tests/function_engines.py
+++ b/tests/function_engines.py
@@ -8,12 +8,12 @@
 
 from collections.abc import Awaitable, Callable
 
-from end_watches import make_end_watch
+from crash_watches import make_crash_watch
 
 from builders import make_engine_entry, make_gateway_config
-from saddledoor import EngineEntry, GatewayRoute, KeyBounds, least_outstanding
+from saddledoor import EngineEntry, GatewayRoute, KeyFreshnessBounds, least_outstanding
 from saddledoord._clock import boot_time
-from saddledoord.cluster.lives import EngineLives
+from saddledoord.cluster.engine_timeouts import EngineTimeouts
 from saddledoord.cluster.view import ClusterView
 from saddledoord.ports import ForwardedRequest, KeyedEntry
 from saddledoord.serving.admission import Admission
@@ -57,9 +57,9 @@
         entry = make_engine_entry(f"desk-{index}")
         view.apply_engine(KeyedEntry(entry.engine_id, index, entry))
     pool = EnginePool(view, least_outstanding(lambda: 0.0))
-    lives = EngineLives(view)
-    ends = make_end_watch(view)
-    admission = Admission(view, boot_time, KeyBounds(2.0))
+    lives = EngineTimeouts(view)
+    ends = make_crash_watch(view)
+    admission = Admission(view, boot_time, KeyFreshnessBounds(2.0))
     serving = PassThrough(view, pool, engines, lives, ends, admission, _uncounted)
     return serving, pool, view
 
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -6,19 +6,19 @@
 
 from __future__ import annotations
 
-from .guard import CRASHING, DAEMON, END_WATCH, ENDS, LIBRARY, Guard
+from .guard import CRASH_FOLD, CRASH_WATCH, CRASHING, DAEMON, LIBRARY, Guard
 
 
 __all__ = ["GUARDS"]
 
-_WATCH = f"{DAEMON}/serving/engine_ends.py"
-_FOLD = f"{LIBRARY}/_engine_ends.py"
+_WATCH = f"{DAEMON}/serving/engine_crash_watch.py"
+_FOLD = f"{LIBRARY}/_engine_crash_fold.py"
 
 GUARDS = (
     Guard(
         "a barred request reaches no engine",
         f"{DAEMON}/serving/engine_choice.py",
-        """        if standing is Standing.BARRED:
+        """        if poison_status is PoisonStatus.QUARANTINED:
             return None
 """,
         "",
@@ -27,7 +27,7 @@
     Guard(
         "an item is not blamed for engines that it did not reach",
         "platform/engines.py",
-        'GenerationFailedError.UNREACHED, f"not connected',
+        'GenerationFailedError.UNREACHABLE, f"not connected',
         'GenerationFailedError.BROKEN, f"not connected',
         ("tests/adapter/test_edge_unreached_engines.py", "did_not_reach"),
     ),
@@ -43,7 +43,8 @@
     Guard(
         "ends are told to all nodes",
         _WATCH,
-        "            await append_until_done(self._log, CONTROL_STREAM, records)\n",
+        "            await append_until_acknowledged("
+        "self._log, CONTROL_STREAM, records)\n",
         "",
         (CRASHING, "stood_still"),
     ),
@@ -66,49 +67,49 @@
         _FOLD,
         "if all(counts[other] == 1 for other in end.requests - {key})\n",
         "if counts\n",
-        (ENDS, "always_together"),
+        (CRASH_FOLD, "always_together"),
     ),
     Guard(
         "what a barred request explains speaks against nobody",
         _FOLD,
         "            self._blame = counts\n",
         "            self._blame = self._blame if self._barred else counts\n",
-        (ENDS, "free_once_the_cause"),
+        (CRASH_FOLD, "free_once_the_cause"),
     ),
     Guard(
         "an answer clears a request",
         _FOLD,
         "                    end.requests.difference_update(record.requests)\n",
         "                    pass\n",
-        (ENDS, "an_answer_clears"),
+        (CRASH_FOLD, "an_answer_clears"),
     ),
     Guard(
         "what is known of ends is bounded in time",
         _FOLD,
         "            if not too_many and now - oldest.told_at <= _REMEMBER:\n",
         "            if not too_many:\n",
-        (ENDS, "bounded_in_time"),
+        (CRASH_FOLD, "bounded_in_time"),
     ),
     Guard(
         "what is known of ends is bounded in count",
         _FOLD,
         "            too_many = len(self._ends) > _MOST_ENDS\n",
         "            too_many = False\n",
-        (ENDS, "bounded_in_count"),
+        (CRASH_FOLD, "bounded_in_count"),
     ),
     Guard(
         "only an engine that is gone has ended",
         _WATCH,
-        "        if await self._engines.is_gone(engine):\n",
-        "        if await self._engines.is_gone(engine) or True:\n",
-        (END_WATCH, "still_serves"),
+        "        if await self._engines.has_exited(engine):\n",
+        "        if await self._engines.has_exited(engine) or True:\n",
+        (CRASH_WATCH, "still_serves"),
     ),
     Guard(
         "an engine that ran a request for long is not ended by it",
         _WATCH,
         "                if run.began <= ended_at <= run.began + _SOON\n",
         "                if run.began <= ended_at\n",
-        (END_WATCH, "ran_for_long"),
+        (CRASH_WATCH, "ran_for_long"),
     ),
     Guard(
         "what an engine has answered is not blamed for its end",
@@ -117,20 +118,20 @@
         self._watch.note_survived(self._run.key)
 """,
         "        self._watch.note_survived(self._run.key)\n",
-        (END_WATCH, "answered_before_its_end"),
+        (CRASH_WATCH, "answered_before_its_end"),
     ),
     Guard(
         "a timer that fires after a standstill shows nothing",
         _WATCH,
         "        if boot_time() - run.began <= _SOON + _ON_TIME:\n",
         "        if run.began:\n",
-        (END_WATCH, "standstill"),
+        (CRASH_WATCH, "standstill"),
     ),
     Guard(
         "what waits for the store is bounded",
         _WATCH,
         "deque[_Record](maxlen=_MOST_WAITING)",
         "deque[_Record]()",
-        (END_WATCH, "waits_for_the_store"),
+        (CRASH_WATCH, "waits_for_the_store"),
     ),
 )
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -58,7 +58,7 @@
         "what an engine held is forgotten with its life",
         f"{DAEMON}/cluster/view.py",
         """            if incarnation.engine_id == entry.engine_id:
-                self.memory.forget(incarnation)
+                self.engine_tables.forget(incarnation)
 """,
         "            pass\n",
         (LIVES, "place_at_the_life_before or also_if_its_entry or left_out"),
@@ -72,7 +72,7 @@
     ),
     Guard(
         "what is in flight at an engine ends with its life",
-        f"{DAEMON}/cluster/lives.py",
+        f"{DAEMON}/cluster/engine_timeouts.py",
         "            limit.reschedule(now)\n",
         "            pass\n",
         (LIVES, "repeated_at_once or answer_at_once or leaves_an_engine"),
@@ -80,7 +80,7 @@
     Guard(
         "a report of another life is credited to nobody",
         f"{DAEMON}/orders/weights.py",
-        "if state is None or state.is_of(engine):",
+        "if state is None or state.belongs_to(engine):",
         "if True:",
         (LIVES, "another_life_is_not_credited"),
     ),
--- a/tests/guard_rows/guard.py
+++ b/tests/guard_rows/guard.py
@@ -17,14 +17,14 @@
     "CRASHING",
     "DECISIONS",
     "DUTY",
-    "ENDS",
-    "END_WATCH",
+    "CRASH_FOLD",
+    "CRASH_WATCH",
     "FOLLOW",
     "Guard",
     "ITEMS",
     "JOBS",
     "KEYS",
-    "KNOWN_ENDS",
+    "LOG_FRESHNESS",
     "LIBRARY",
     "LIVES",
     "PASS",
@@ -34,7 +34,7 @@
     "REGISTRY",
     "REQUESTS",
     "SHARES",
-    "STANDSTILLS",
+    "PROCESS_PAUSES",
     "STOPS",
     "TIMELY",
     "UNREADABLE",
@@ -55,9 +55,9 @@
 PASS = "tests/test_pass_through.py"
 AGAIN = "tests/adapter/test_edge_asks_again.py"
 TIMELY = "tests/test_timely.py"
-STANDSTILLS = "tests/adapter/test_edge_standstills.py"
+PROCESS_PAUSES = "tests/adapter/test_edge_process_pauses.py"
 UNREADABLE = "tests/test_unreadable_records.py"
-KNOWN_ENDS = "tests/test_known_ends.py"
+LOG_FRESHNESS = "tests/test_log_freshness.py"
 ATTEMPTS = "tests/test_asking_again.py"
 POOL = "tests/test_pool.py"
 SHARES = "tests/test_work_shares.py"
@@ -66,8 +66,8 @@
 REGISTRY = "tests/adapter/test_registry.py"
 FOLLOW = "tests/test_follow.py"
 LIVES = "tests/test_engine_lives.py"
-ENDS = "tests/test_engine_ends.py"
-END_WATCH = "tests/test_engine_end_watch.py"
+CRASH_FOLD = "tests/test_engine_crash_fold.py"
+CRASH_WATCH = "tests/test_engine_crash_watch.py"
 CRASHING = "tests/adapter/test_edge_crashing_requests.py"
 KEYS = "tests/adapter/test_edge_keys.py"
 USAGE = "tests/adapter/test_edge_usage.py"
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -12,11 +12,11 @@
     FOLLOW,
     ITEMS,
     JOBS,
-    KNOWN_ENDS,
     LIBRARY,
+    LOG_FRESHNESS,
     PASS,
+    PROCESS_PAUSES,
     PROOFS,
-    STANDSTILLS,
     TIMELY,
     UNREADABLE,
     Guard,
@@ -29,23 +29,23 @@
     Guard(
         "items start only with a known log end",
         f"{DAEMON}/jobs/runner.py",
-        "return self._known_ends.may_start(boot_time())",
+        "return self._log_freshness.may_start(boot_time())",
         "return True",
         (JOBS, "long_silence"),
     ),
     Guard(
         "whoever stood still asks for the log's end first",
-        f"{DAEMON}/jobs/known_ends.py",
-        "if view.confirmed_at < view.awake_since:",
+        f"{DAEMON}/jobs/log_freshness.py",
+        "if view.synced_at < view.resumed_at:",
         "if False:",
-        (STANDSTILLS, "stood_still_sends_nothing"),
+        (PROCESS_PAUSES, "stood_still_sends_nothing"),
     ),
     Guard(
         "a scoring call is made only with a known log end",
         f"{DAEMON}/jobs/runner.py",
-        "lambda: self._known_ends.may_score(boot_time()),",
+        "lambda: self._log_freshness.may_score(boot_time()),",
         "lambda: True,",
-        (STANDSTILLS, "stood_still_sends_nothing"),
+        (PROCESS_PAUSES, "stood_still_sends_nothing"),
     ),
     Guard(
         "a scoring call goes to no second engine without a known log end",
@@ -77,11 +77,11 @@
     ),
     Guard(
         "a standstill is noticed when it is asked about",
-        f"{DAEMON}/standstills.py",
+        f"{DAEMON}/process_pauses.py",
         """        self._look()
         return self._ended_at""",
         "        return self._ended_at",
-        (KNOWN_ENDS, "before_any_timer"),
+        (LOG_FRESHNESS, "before_any_timer"),
     ),
     Guard(
         "items that cannot be read are read ever more seldom",
@@ -113,14 +113,14 @@
     ),
     Guard(
         "an item has one position",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "if result.item_id not in state.listed:",
         "if True:",
         (PROOFS, "holds_with_its_mechanism and job_positions"),
     ),
     Guard(
         "kept events go on in the chain where the others end",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "record.first == before.count + 1 and record.follows == before.chain",
         "record.first == before.count + 1",
         (PROOFS, "holds_with_its_mechanism and kept_texts"),
@@ -134,7 +134,7 @@
     ),
     Guard(
         "a whole text takes the place of a shorter one only",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "record.first == 1 and record.count > before.count",
         "record.first == 1",
         (DECISIONS, "takes_the_place"),
@@ -162,7 +162,7 @@
     ),
     Guard(
         "a failure that is appended twice counts once",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "state.failed.add(record)",
         "state.failed.add(ItemFailed(record.job_id, record.item_id,"
         " str(len(state.failed)), record.scoring))",
@@ -170,7 +170,7 @@
     ),
     Guard(
         "an open job is kept",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "keep = ended_for if state.ended else open_for",
         "keep = ended_for",
         (DECISIONS, "kept_while_it_is_open"),
@@ -207,7 +207,7 @@
     ),
     Guard(
         "a job that is opened twice is taken once",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "if job.job_id in self._jobs:",
         "if False:",
         (DECISIONS, "opened_twice"),
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -39,14 +39,14 @@
     Guard(
         "a key that others may know by now is not called unknown",
         f"{LIBRARY}/_workspaces.py",
-        "if age > bounds.known_within:",
+        "if age > bounds.propagation_limit:",
         "if False:",
         (KEYS, "calls_no_key_unknown"),
     ),
     Guard(
         "with strict revocation old news serves nobody",
         f"{LIBRARY}/_workspaces.py",
-        "if bounds.gone_within is not None and age > bounds.gone_within:",
+        "if bounds.revocation_limit is not None and age > bounds.revocation_limit:",
         "if False:",
         (KEYS, "strict_edge"),
     ),
@@ -82,7 +82,7 @@
     Guard(
         "counts that may not have been written are given again",
         f"{DAEMON}/duties/usage_counter.py",
-        "self._meter.give_back(records)",
+        "self._meter.requeue(records)",
         "pass",
         (DUTY, "log_does_not_hold"),
     ),
--- a/tests/guard_rows/nodes.py
+++ b/tests/guard_rows/nodes.py
@@ -50,7 +50,7 @@
     Guard(
         "nobody claims a share while the store is away",
         f"{DAEMON}/cluster/work_shares.py",
-        "not self._leases.reached or ",
+        "not self._leases.is_store_reachable or ",
         "",
         (SHARES, "nobody_claims"),
     ),
@@ -78,7 +78,7 @@
     Guard(
         "a large page has the time it takes",
         f"{DAEMON}/cluster/store_watch.py",
-        "expected = wait + max(0.0, patience - USUAL_PATIENCE)",
+        "expected = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)",
         "expected = wait",
         (WATCH, "large_page"),
     ),
@@ -106,7 +106,7 @@
     Guard(
         "a planned stop waits for the store",
         f"{DAEMON}/gateway.py",
-        "while not await self.jobs.sync() and boot_time() < began + patience:",
+        "while not await self.jobs.sync() and boot_time() < began + store_timeout:",
         "while False:",
         (WEIGHTS, "loses_no_text"),
     ),
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -14,8 +14,8 @@
     LIBRARY,
     PASS,
     POOL,
+    PROCESS_PAUSES,
     REQUESTS,
-    STANDSTILLS,
     WEIGHTS,
     Guard,
 )
@@ -37,7 +37,7 @@
     Guard(
         "an order names the count of orders taken",
         "platform/engines.py",
-        '            "if_rev": order.orders_taken,\n',
+        '            "if_rev": order.accepted_orders,\n',
         "",
         (WEIGHTS, "carried_out_late"),
     ),
@@ -75,7 +75,7 @@
         "a request does not go again where it broke off",
         f"{LIBRARY}/_engine_attempts.py",
         "if all(a.end in _MAY_RETURN for",
-        "if all(a.end is not AttemptEnd.RUNNING for",
+        "if all(a.end is not AttemptOutcome.RUNNING for",
         (ATTEMPTS, "broke_off"),
     ),
     Guard(
@@ -95,9 +95,9 @@
     Guard(
         "what a request may have waited unread counts",
         f"{DAEMON}/serving/pass_through.py",
-        "held = time_left(limit, route.objective, held_up)",
+        "held = time_left(limit, route.objective, read_delay)",
         "held = limit",
-        (STANDSTILLS, "hears_within_its_time"),
+        (PROCESS_PAUSES, "hears_within_its_time"),
     ),
     Guard(
         "a request that has run nowhere does not wait",
@@ -130,7 +130,7 @@
     Guard(
         "a success carries the engine's mark",
         "platform/engine_answers.py",
-        "if response.status < 300 and not mark:",
+        "if response.status < 300 and not signature:",
         "if False:",
         (REQUESTS, "signature"),
     ),
--- a/tests/proofs/at_most_once.py
+++ b/tests/proofs/at_most_once.py
@@ -110,7 +110,7 @@
 
         @rule()
         def use_issued_key(self):
-            if self.issuer.take(self.issued, "partner"):
+            if self.issuer.consume(self.issued, "partner"):
                 self.issued_runs += 1
 
         @rule()
@@ -118,7 +118,7 @@
             """
             A VM's successor does not know the keys of the one before.
             """
-            if IssuedKeys("successor").take(self.issued, "partner"):
+            if IssuedKeys("successor").consume(self.issued, "partner"):
                 self.issued_runs += 1
 
         def _run(self, entry):
--- a/tests/proofs/configuration.py
+++ b/tests/proofs/configuration.py
@@ -12,7 +12,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from builders import make_proposal
-from saddledoor import Accepted, ConfigFold, ConfigProposal, ConfigVerdict, InForce
+from saddledoor import (
+    AcceptedConfig,
+    ActiveConfig,
+    ConfigFold,
+    ConfigProposal,
+    ConfigVerdict,
+)
 
 from ._proof import Proof
 
@@ -33,7 +39,7 @@
             self.reference = ConfigFold()
             self.history = {0: None}
             self.nodes = [ConfigFold() for _ in range(_NODES)]
-            self.in_force = [InForce() for _ in range(_NODES)]
+            self.in_force = [ActiveConfig() for _ in range(_NODES)]
             self.seen = [-1] * _NODES
             self.own = [-1] * _NODES
 
@@ -100,7 +106,7 @@
             release_takes_it = (offset + node) % 3 != 0
             if isinstance(record, ConfigProposal) and release_takes_it:
                 self.own[node] = offset
-                self._offer(node, Accepted(offset, record.document))
+                self._offer(node, AcceptedConfig(offset, record.document))
 
         def _offer(self, node, accepted):
             self.in_force[node] = self.in_force[node].offer(accepted)
@@ -112,7 +118,7 @@
         @rule(node=st.integers(0, _NODES - 1))
         def replace_vm(self, node):
             self.nodes[node] = ConfigFold.starting_at(self.first)
-            self.in_force[node] = InForce()
+            self.in_force[node] = ActiveConfig()
             self.seen[node] = -1
 
         @invariant()
--- a/tests/proofs/delivery.py
+++ b/tests/proofs/delivery.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from builders import make_sample, make_spec
-from saddledoor import Batch, FetchRequest, Resync, Slot, StepBook
+from saddledoor import Batch, FetchRequest, Resync, Slot, StepDelivery
 
 from ._proof import Proof
 
@@ -20,7 +20,7 @@
 _SLOTS = 4
 
 
-class _Careless(StepBook):
+class _Careless(StepDelivery):
     """
     A collector without the mechanism: it forgets what it sent, and asks nothing.
     """
@@ -43,7 +43,7 @@
 
         @initialize()
         def begin(self):
-            self.kind = StepBook if guard else _Careless
+            self.kind = StepDelivery if guard else _Careless
             self.collectors = {}
             self.next_fence = 1
             self.kept: list[Slot] = []
--- a/tests/proofs/job_positions.py
+++ b/tests/proofs/job_positions.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     StoredText,
 )
 
@@ -36,9 +36,9 @@
         @initialize()
         def accept(self):
             self.job = make_job(_ITEMS)
-            self.log = [make_opened(self.job)]
+            self.log = [make_job_opened(self.job)]
             self.late = []
-            self.books = [JobBook() for _ in range(_NODES)]
+            self.books = [JobFold() for _ in range(_NODES)]
             self.read = [0] * _NODES
             self.seen: dict[int, ItemResult] = {}
 
@@ -51,7 +51,7 @@
         def finish_item(self, node, item, done, fate):
             text = StoredText((node,), 1) if done else StoredText()
             result = ItemResult(self.job.items[item].item_id, done, text)
-            record = ItemListed(self.job.job_id, result)
+            record = ItemResultRecorded(self.job.job_id, result)
             if fate == "done":
                 self.log.append(record)
             elif fate == "late":
@@ -76,7 +76,7 @@
 
         @rule(node=st.integers(0, _NODES - 1))
         def lose_power(self, node):
-            self.books[node] = JobBook()
+            self.books[node] = JobFold()
             self.read[node] = 0
 
         @invariant()
--- a/tests/proofs/kept_texts.py
+++ b/tests/proofs/kept_texts.py
@@ -12,15 +12,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
+    CheckpointedText,
     EventText,
     GeneratedEvent,
-    ItemKept,
-    JobBook,
-    KeptParts,
-    KeptText,
+    ItemCheckpoint,
+    JobFold,
     StoredText,
+    TextSegment,
 )
 
 from ._proof import Proof
@@ -40,8 +40,8 @@
         def accept(self):
             self.job = make_job(1)
             self.item = self.job.items[0].item_id
-            self.book = JobBook()
-            self.book.apply(make_opened(self.job))
+            self.book = JobFold()
+            self.book.apply(make_job_opened(self.job))
             self.written: list[tuple[str, ...]] = []
             self.asked_after: dict[str, int] = {}
             self.runs = 0
@@ -54,12 +54,14 @@
                 self.run_ids.append("")
                 self.take_over(node)
 
-        def _kept(self) -> KeptText:
-            kept = self.book.get(self.job.job_id).kept.get(self.item, KeptParts())
+        def _kept(self) -> TextSegment:
+            kept = self.book.get(self.job.job_id).kept.get(
+                self.item, CheckpointedText()
+            )
             written = [self.written[part.offsets[0]] for part in kept.parts]
             events = tuple(event for part in written for event in part)
             assert len(events) == kept.count
-            return KeptText(events, kept.versions, kept.chain)
+            return TextSegment(events, kept.versions, kept.chain)
 
         @rule(node=st.integers(0, _NODES - 1))
         def take_over(self, node):
@@ -100,7 +102,7 @@
             follows = chain if guard else self._kept().chain
             self.written.append(kept.events)
             self.book.apply(
-                ItemKept(
+                ItemCheckpoint(
                     self.job.job_id,
                     self.item,
                     last + 1,
@@ -132,7 +134,7 @@
             self.told[node] = (text.last, kept.chain)
             self.written.append(kept.events)
             self.book.apply(
-                ItemKept(
+                ItemCheckpoint(
                     self.job.job_id,
                     self.item,
                     1,
--- a/tests/proofs/leaving.py
+++ b/tests/proofs/leaving.py
@@ -18,13 +18,13 @@
 )
 
 from saddledoor import (
-    Accepted,
+    AcceptedConfig,
+    ActiveConfig,
     BackendReport,
-    InForce,
+    BackendRequirement,
     MemberEntry,
     MemberTable,
-    Need,
-    may_use,
+    is_eligible,
 )
 
 from ._proof import Proof
@@ -75,7 +75,7 @@
             kind = MemberTable if guard else _LastHeard
             self.tables = [kind(1e9) for _ in range(_NODES)]
             self.heard_leaving = [False] * _NODES
-            self.in_force = [InForce() for _ in range(_NODES)]
+            self.in_force = [ActiveConfig() for _ in range(_NODES)]
             self.marked_offset = None
             self.seq = 0
 
@@ -118,17 +118,21 @@
             Offset 1 serves, offset 2 marks it as leaving; peers may pass on either.
             """
             self.marked_offset = 2
-            self.in_force[node] = self.in_force[node].offer(Accepted(2, "leaving"))
+            self.in_force[node] = self.in_force[node].offer(
+                AcceptedConfig(2, "leaving")
+            )
 
         @rule(node=st.integers(0, _NODES - 1))
         def old_configuration_arrives(self, node):
-            self.in_force[node] = self.in_force[node].offer(Accepted(1, "serving"))
+            self.in_force[node] = self.in_force[node].offer(
+                AcceptedConfig(1, "serving")
+            )
 
         def _grants(self, node):
             accepted = self.in_force[node].accepted
             state = accepted.document if accepted else "serving"
             report = self.tables[node].reports().get("engine")
-            return may_use(state, report, Need(), self.now)
+            return is_eligible(state, report, BackendRequirement(), self.now)
 
         @invariant()
         def no_new_work_once_heard(self):
--- a/tests/proofs/planned_stop.py
+++ b/tests/proofs/planned_stop.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from saddledoor import Drain, Stage
+from saddledoor import Drain, DrainStage
 
 from ._proof import Proof
 
@@ -47,7 +47,7 @@
             """
             The balancer sends to the VM until it has heard that it is not ready.
             """
-            told = self.drain.told_at
+            told = self.drain.stop_requested_at
             if told is not None and self.now - told > _BALANCER_LAG:
                 return
             if self.ended:
@@ -62,18 +62,18 @@
 
         @rule()
         def told_to_stop(self):
-            if self.drain.told_at is None:
-                self.drain.tell(self.now)
+            if self.drain.stop_requested_at is None:
+                self.drain.request_stop(self.now)
                 self._step()
 
         @rule()
-        def told_again(self):
+        def stop_requested_twice(self):
             """
             The second signal ends the VM at once, and promises nothing.
             """
-            if self.drain.told_at is not None and not self.ended:
+            if self.drain.stop_requested_at is not None and not self.ended:
                 self.promised = False
-                self.drain.tell(self.now)
+                self.drain.request_stop(self.now)
                 self._step()
 
         def _step(self):
@@ -83,7 +83,7 @@
             if drain.may_hand_over(self.now, self.in_flight):
                 drain.handed_over = True
             if drain.may_stop(self.now, self.in_flight):
-                over = drain.told_at + drain.lame_duck + _LIMIT
+                over = drain.stop_requested_at + drain.lame_duck + _LIMIT
                 if self.promised and self.now < over:
                     self.cut += self.in_flight
                 drain.stopped = self.ended = True
@@ -94,8 +94,8 @@
 
         @invariant()
         def stage_follows(self):
-            if self.drain.told_at is None:
-                assert self.drain.stage is Stage.SERVING
+            if self.drain.stop_requested_at is None:
+                assert self.drain.stage is DrainStage.SERVING
 
     return PlannedStop
 
--- a/tests/proofs/staleness.py
+++ b/tests/proofs/staleness.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from builders import make_spec
-from saddledoor import Batch, FetchRequest, Sample, Slot, StepBook, VersionRun
+from saddledoor import Batch, FetchRequest, Sample, Slot, StepDelivery, VersionRun
 
 from ._proof import Proof
 
@@ -20,7 +20,7 @@
 _SLOTS = 4
 
 
-class _JudgedWhenFinished(StepBook):
+class _JudgedWhenFinished(StepDelivery):
     def drop_stale(self, version):
         return 0
 
@@ -35,7 +35,7 @@
         def begin(self, bound):
             self.bound = bound
             self.version = 3
-            kind = StepBook if guard else _JudgedWhenFinished
+            kind = StepDelivery if guard else _JudgedWhenFinished
             specs = [make_spec(group) for group in range(_SLOTS)]
             self.book = kind.open(1, bound, specs)
             self.cursor = 0
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -89,7 +89,7 @@
         "a result is listed twice",
         (
             (
-                f"{LIBRARY}/_job_book.py",
+                f"{LIBRARY}/_job_fold.py",
                 "if result.item_id not in state.listed:",
                 "if True:",
             ),
--- a/tests/test_asking_again.py
+++ b/tests/test_asking_again.py
@@ -17,7 +17,7 @@
 
 from builders import make_request, make_route
 from saddledoor import (
-    AttemptEnd,
+    AttemptOutcome,
     EngineAttempts,
     Incarnation,
     NotRun,
@@ -33,17 +33,17 @@
 _REFUSED = NotRun(ResultCode.NO_BACKEND, "the engine refused")
 _UNUSABLE = UnusableAnswer(ResultCode.OUTCOME_UNKNOWN, "the answer of another request")
 _BROKEN = OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, "broken off")
-_ENDED = [AttemptEnd.NOT_RUN, AttemptEnd.UNUSABLE, AttemptEnd.FAILED]
+_ENDED = [AttemptOutcome.NOT_RUN, AttemptOutcome.UNUSABLE, AttemptOutcome.FAILED]
 
 
-def _attempts(*ends: tuple[Incarnation, AttemptEnd], **changes) -> EngineAttempts:
+def _attempts(*ends: tuple[Incarnation, AttemptOutcome], **changes) -> EngineAttempts:
     """
     Return attempts that ended at 10.0, but for those that run.
     """
     attempts = EngineAttempts(**({"most": 3, "repeatable": True} | changes))
     for engine, end in ends:
         attempt = attempts.begin(engine)
-        if end is not AttemptEnd.RUNNING:
+        if end is not AttemptOutcome.RUNNING:
             attempt.finish(end, 10.0)
     return attempts
 
@@ -53,18 +53,18 @@
     """
     After a pause, while another engine works on it.
     """
-    attempts = _attempts((_A, end), (_B, AttemptEnd.RUNNING))
-    assert list(attempts.may_return_at()) == [_A]
-    assert attempts.may_return_at()[_A] > 10.0
+    attempts = _attempts((_A, end), (_B, AttemptOutcome.RUNNING))
+    assert list(attempts.earliest_retry_times()) == [_A]
+    assert attempts.earliest_retry_times()[_A] > 10.0
 
 
 def test_a_request_does_not_return_where_it_broke_off():
     """
     Not even if the engine gave a usable answer before or after.
     """
-    assert _attempts((_A, AttemptEnd.BROKEN)).may_return_at() == {}
-    twice = _attempts((_A, AttemptEnd.BROKEN), (_A, AttemptEnd.NOT_RUN))
-    assert twice.may_return_at() == {}
+    assert _attempts((_A, AttemptOutcome.BROKEN)).earliest_retry_times() == {}
+    twice = _attempts((_A, AttemptOutcome.BROKEN), (_A, AttemptOutcome.NOT_RUN))
+    assert twice.earliest_retry_times() == {}
 
 
 @pytest.mark.parametrize("end", _ENDED)
@@ -72,7 +72,7 @@
     """
     Whatever its engine vouches for.
     """
-    assert _attempts((_A, end), repeatable=False).may_return_at() == {}
+    assert _attempts((_A, end), repeatable=False).earliest_retry_times() == {}
 
 
 def test_the_pause_doubles_with_each_attempt_at_the_engine():
@@ -80,13 +80,14 @@
     So that an engine that stays sick is asked a few times only.
     """
     pauses = [
-        _attempts(*[(_A, AttemptEnd.UNUSABLE)] * count).may_return_at()[_A] - 10.0
+        _attempts(*[(_A, AttemptOutcome.UNUSABLE)] * count).earliest_retry_times()[_A]
+        - 10.0
         for count in (1, 2, 3)
     ]
     assert pauses == pytest.approx([pauses[0], 2 * pauses[0], 4 * pauses[0]])
 
 
-_CHOICES = st.tuples(st.sampled_from(list(AttemptEnd)), st.integers(0, 3))
+_CHOICES = st.tuples(st.sampled_from(list(AttemptOutcome)), st.integers(0, 3))
 
 
 @given(st.integers(1, 4), st.lists(_CHOICES, max_size=20))
@@ -97,23 +98,23 @@
     attempts = EngineAttempts(most, True)
     spent = Counter()
     for end, number in choices:
-        returns = list(attempts.may_return_at())
-        if attempts.may_go_on():
+        returns = list(attempts.earliest_retry_times())
+        if attempts.may_try_another_engine():
             engine = Incarnation(f"desk-{len(attempts.engines)}")
         elif returns:
             engine = returns[number % len(returns)]
         else:
             break
         attempt = attempts.begin(engine)
-        if end is not AttemptEnd.RUNNING:
+        if end is not AttemptOutcome.RUNNING:
             attempt.finish(end, 10.0)
         spent[end] += 1
     assert len(attempts.engines) <= most
-    used_up = (AttemptEnd.RUNNING, AttemptEnd.FAILED, AttemptEnd.BROKEN)
+    used_up = (AttemptOutcome.RUNNING, AttemptOutcome.FAILED, AttemptOutcome.BROKEN)
     assert sum(spent[end] for end in used_up) <= most
 
 
-def _serve(answer, count: int = 1, patience: float = 2.0, **route):
+def _serve(answer, count: int = 1, caller_timeout: float = 2.0, **route):
     """
     Ask `count` times at once, with two engines; return outcomes, calls and seconds.
     """
@@ -122,7 +123,7 @@
 
     async def ask() -> list:
         asking = [
-            serving.serve(make_request(f"/look/{number}"), patience)
+            serving.serve(make_request(f"/look/{number}"), caller_timeout)
             for number in range(count)
         ]
         return await asyncio.gather(*asking)
@@ -168,7 +169,7 @@
     async def answer(engine, request):
         return _UNUSABLE
 
-    (outcome,), calls, seconds = _serve(answer, patience=0.15)
+    (outcome,), calls, seconds = _serve(answer, caller_timeout=0.15)
     assert isinstance(outcome, OutcomeUnknown)
     assert (calls, seconds < 0.1) == (Counter({"desk-0": 1, "desk-1": 1}), True)
 
@@ -184,7 +185,7 @@
         await asyncio.sleep(5.0)
         return _DONE
 
-    _, calls, _ = _serve(answer, count=20, patience=0.7)
+    _, calls, _ = _serve(answer, count=20, caller_timeout=0.7)
     assert calls["desk-0"] - 20 <= 3
 
 
@@ -201,7 +202,7 @@
         await asyncio.sleep(5.0)
         return _DONE
 
-    outcomes, _, _ = _serve(answer, count=20, patience=1.9)
+    outcomes, _, _ = _serve(answer, count=20, caller_timeout=1.9)
     assert outcomes == [_DONE] * 20
 
 
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -9,14 +9,14 @@
 import asyncio
 
 import pytest
-from end_watches import make_end_watch
+from crash_watches import make_crash_watch
 
 from builders import make_engine_entry, make_job, make_job_state, make_route
 from saddledoor import GeneratedEvent, Incarnation
 from saddledoord._clock import boot_time
-from saddledoord.cluster.lives import EngineLives
+from saddledoord.cluster.engine_timeouts import EngineTimeouts
 from saddledoord.cluster.view import ClusterView
-from saddledoord.jobs.attempt import Attempts
+from saddledoord.jobs.attempt import AttemptRunner
 from saddledoord.jobs.item_run import ItemRun
 from saddledoord.ports import GenerationFailedError
 from saddledoord.serving.pace import EnginePaces
@@ -48,7 +48,7 @@
     def started(self, engine, model):
         pass
 
-    def saw(self, engine, model, version):
+    def note_version(self, engine, model, version):
         self.versions.append(version)
 
     def weigh(self, run):
@@ -63,13 +63,13 @@
 
 def _play(events: int, gap: float) -> ItemRun:
     view = ClusterView()
-    paces = EnginePaces(view.memory)
+    paces = EnginePaces(view.engine_tables)
     paces.observe(Incarnation("fast"), 0.001, boot_time())
     job = make_job(1)
     run = ItemRun.begin(make_job_state(job), job.items[0])
-    lives = EngineLives(view)
-    attempts = Attempts(
-        _Engines(events, gap), paces, _Placement(), lives, make_end_watch(view)
+    lives = EngineTimeouts(view)
+    attempts = AttemptRunner(
+        _Engines(events, gap), paces, _Placement(), lives, make_crash_watch(view)
     )
     route = make_route("/train/")
     asyncio.run(attempts.run(run, route, make_engine_entry("slow")))
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -12,7 +12,7 @@
     Objective,
     Observation,
     burn_rows,
-    find_holes,
+    find_counting_gaps,
 )
 
 
@@ -86,7 +86,7 @@
         (10.0, _totals(1, 1, "stopped", final=True)),
         (95.0, _totals(1, 1, "alive")),
     ]
-    holes = find_holes(records, 100.0)
+    holes = find_counting_gaps(records, 100.0)
     assert [hole.incarnation for hole in holes] == ["killed"]
 
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -15,7 +15,7 @@
 
 from saddledoord import _clock
 from saddledoord._clock import BootTimeLoop, run_by_boot_time
-from saddledoord.standstills import Looks, Standstills
+from saddledoord.process_pauses import ProcessPauses, ShutdownPoll
 
 
 class _Vm:
@@ -41,7 +41,7 @@
     """
     Return how long after the end of a suspension a limit that began before it ends.
     """
-    standstills = asyncio.create_task(Standstills(vm.boot_time).run())
+    standstills = asyncio.create_task(ProcessPauses(vm.boot_time).run())
     await asyncio.sleep(0.05)
 
     async def suspend() -> float:
@@ -102,7 +102,7 @@
     Callers may have come meanwhile; within a step of the loop they have been accepted.
     """
     now = [10.0]
-    looks = Looks(lambda: now[0])
+    looks = ShutdownPoll(lambda: now[0])
     for passed, on_time in ((0.05, False), (0.05, True), (0.4, False), (0.05, True)):
         now[0] += passed
-        assert looks.is_on_time() is on_time
+        assert looks.polled_recently() is on_time
--- a/tests/test_engine_lives.py
+++ b/tests/test_engine_lives.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 
 import pytest
-from end_watches import make_end_watch
+from crash_watches import make_crash_watch
 
 from builders import (
     make_engine_entry,
@@ -31,19 +31,19 @@
     GatewayService,
     GeneratedEvent,
     Incarnation,
-    KeyBounds,
+    KeyFreshnessBounds,
     OutcomeUnknown,
     RouteKind,
     least_outstanding,
 )
 from saddledoord._clock import boot_time
 from saddledoord.cluster import view as view_module
-from saddledoord.cluster.lives import EngineLives
+from saddledoord.cluster.engine_timeouts import EngineTimeouts
 from saddledoord.cluster.view import ClusterView
-from saddledoord.jobs.attempt import Attempts
+from saddledoord.jobs.attempt import AttemptRunner
 from saddledoord.jobs.item_run import ItemRun
 from saddledoord.jobs.placement import Placement
-from saddledoord.orders.weights import WeightKeeper
+from saddledoord.orders.weights import WeightUpdater
 from saddledoord.ports import (
     EngineAnswer,
     EngineState,
@@ -55,7 +55,7 @@
 from saddledoord.serving.pace import EnginePaces
 from saddledoord.serving.pass_through import PassThrough
 from saddledoord.serving.pool import EnginePool
-from saddledoord.serving.silence import SilentEngines
+from saddledoord.serving.unresponsive_engines import UnresponsiveEngines
 
 
 MODEL = "model-a"
@@ -80,11 +80,11 @@
         self.view.apply_operator(KeyedEntry("config", 0, config))
         for entry in entries:
             self.put(entry)
-        memory = self.view.memory
-        self.lives = EngineLives(self.view)
+        engine_tables = self.view.engine_tables
+        self.lives = EngineTimeouts(self.view)
         self.pool = EnginePool(self.view, least_outstanding(lambda: 0.0))
-        self.paces = EnginePaces(memory)
-        self.silent = SilentEngines(_Mute(), memory)
+        self.paces = EnginePaces(engine_tables)
+        self.silent = UnresponsiveEngines(_Mute(), engine_tables)
         self.placement = Placement(self.view, self.pool, self.paces, self.silent)
 
     def put(self, entry: EngineEntry) -> None:
@@ -163,16 +163,16 @@
     before, after = _entry(FIRST), _entry(SECOND, versions={MODEL: 1})
     node = _Node(before)
     for _ in range(before.slots):
-        node.placement.take(node.item(), before)
-    node.pool.failed(before)
-    node.pool.refused(before, MODEL)
-    node.pool.overtaken(before)
+        node.placement.reserve(node.item(), before)
+    node.pool.record_failure(before)
+    node.pool.record_refusal(before, MODEL)
+    node.pool.record_overtaken(before)
     node.paces.observe(before.incarnation, 0.5, boot_time())
-    node.placement.saw(before, MODEL, 2)
+    node.placement.note_version(before, MODEL, 2)
     route = make_route("/train/")
     assert node.placement.choose(node.item(), route, ()) is None
     node.put(after)
-    assert node.pool.own(after) == 0
+    assert node.pool.in_flight(after) == 0
     assert node.paces.gap(after.incarnation, boot_time()) is None
     assert node.placement.choose(node.item(), route, ()) == after
     assert node.placement.choose(node.item(oldest=2), route, ()) is None
@@ -184,11 +184,11 @@
     """
     before, after = _entry(FIRST), _entry(SECOND)
     node = _Node(before)
-    old = node.pool.take(before)
+    old = node.pool.reserve(before)
     node.put(after)
-    node.pool.take(after)
+    node.pool.reserve(after)
     old.release()
-    assert node.pool.own(after) == 1
+    assert node.pool.in_flight(after) == 1
 
 
 def test_a_life_that_is_over_is_forgotten_also_if_its_entry_went_first():
@@ -197,11 +197,11 @@
     """
     before, after = _entry(FIRST), _entry(SECOND)
     node = _Node(before)
-    node.pool.take(before)
+    node.pool.reserve(before)
     node.remove("e-1")
     node.put(after)
-    assert node.pool.own(before) == 0
-    assert node.lives.is_over(before.incarnation)
+    assert node.pool.in_flight(before) == 0
+    assert node.lives.has_restarted(before.incarnation)
 
 
 def test_an_entry_that_lapses_and_comes_back_is_the_same_life():
@@ -209,10 +209,10 @@
     What is in flight there still counts.
     """
     node = _Node(_entry(FIRST))
-    node.pool.take(_entry(FIRST))
+    node.pool.reserve(_entry(FIRST))
     node.remove("e-1")
     node.put(_entry(FIRST))
-    assert node.pool.own(_entry(FIRST)) == 1
+    assert node.pool.in_flight(_entry(FIRST)) == 1
 
 
 def test_an_engine_that_is_gone_is_forgotten_after_a_while(monkeypatch):
@@ -220,12 +220,12 @@
     Otherwise the memory grows with every engine there ever was.
     """
     node = _Node(_entry(FIRST))
-    node.pool.take(_entry(FIRST))
+    node.pool.reserve(_entry(FIRST))
     node.remove("e-1")
     now = boot_time()
     monkeypatch.setattr(view_module, "boot_time", lambda: now + 61.0)
     node.put(_entry(FIRST, "e-2"))
-    assert node.pool.own(_entry(FIRST)) == 0
+    assert node.pool.in_flight(_entry(FIRST)) == 0
 
 
 def test_a_silent_engine_that_starts_again_is_not_left_out():
@@ -235,7 +235,7 @@
 
     async def play():
         node = _Node(_entry(FIRST))
-        node.silent.note(_entry(FIRST))
+        node.silent.probe(_entry(FIRST))
         assert _entry(FIRST).incarnation in node.silent
         node.put(_entry(SECOND))
         await asyncio.sleep(0)
@@ -275,8 +275,8 @@
         node.pool,
         engines,
         node.lives,
-        make_end_watch(node.view),
-        Admission(node.view, boot_time, KeyBounds(2.0)),
+        make_crash_watch(node.view),
+        Admission(node.view, boot_time, KeyFreshnessBounds(2.0)),
         lambda route, code, seconds: None,
     )
 
@@ -320,8 +320,8 @@
     """
     node = _Node(_entry(FIRST))
     engines = _Hanging(_entry(FIRST).incarnation)
-    attempts = Attempts(
-        engines, node.paces, node.placement, node.lives, make_end_watch(node.view)
+    attempts = AttemptRunner(
+        engines, node.paces, node.placement, node.lives, make_crash_watch(node.view)
     )
     run = node.item()
 
@@ -377,17 +377,17 @@
 
     async def order(self, engine, order):
         await asyncio.sleep(0.005)
-        self.orders.append((self.started_at, order.version, order.orders_taken))
-        if order.orders_taken != self.taken:
+        self.orders.append((self.started_at, order.version, order.accepted_orders))
+        if order.accepted_orders != self.taken:
             return OrderOutcome.CONFLICT
         self.version, self.taken = order.version, self.taken + 1
-        return OrderOutcome.TAKEN
+        return OrderOutcome.ACCEPTED
 
 
 async def _keep_weights(
     node: _Node, engine: _Loader, play: Callable[[], Awaitable[None]]
 ) -> None:
-    keeper = WeightKeeper(
+    keeper = WeightUpdater(
         node.view,
         engine,
         node.lives,
@@ -460,7 +460,7 @@
 
     async def lost(at, order):
         if engine.started_at == FIRST:
-            engine.orders.append((FIRST, order.version, order.orders_taken))
+            engine.orders.append((FIRST, order.version, order.accepted_orders))
             return OrderOutcome.UNKNOWN
         return await usual(at, order)
 
--- a/tests/test_failures_operations.py
+++ b/tests/test_failures_operations.py
@@ -13,15 +13,15 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from beds import (
+from saddledoor_standins.fleet import read_json
+from saddledoor_standins.testbed import until
+from testbed_helpers import (
     BackgroundTrainer,
-    assert_step_is_right,
+    answered_share,
+    assert_step_correct,
     find_collector,
     make_plan,
-    share_answered,
 )
-from saddledoor_standins.fleet import read_json
-from saddledoor_standins.testbed import until
 
 
 def test_two_operators_race_and_one_wins(bed, record_property):
@@ -59,7 +59,7 @@
     bed.cut_log()
     bed.start_vm("dc-a-vm1")
     until(lambda: bed.status("dc-a-vm1")["config_offset"] == offset)
-    share = share_answered(bed)
+    share = answered_share(bed)
     record_property("repeatable_answered", share)
     assert share == 1.0
     bed.cut_log(mode="pass")
@@ -202,7 +202,7 @@
         codes = [future.result().code for future in long + late]
     assert codes == [100] * len(codes)
     assert bed.process(victim).wait(60.0) == 0
-    assert_step_is_right(trainer.finish())
+    assert_step_correct(trainer.finish())
 
 
 def test_a_second_signal_ends_a_stopping_vm_at_once(bed, record_property):
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -16,11 +16,11 @@
 
 import pytest
 
-from beds import (
+from saddledoor_standins.testbed import MODEL, until
+from testbed_helpers import (
     QUICK,
-    share_answered,
+    answered_share,
 )
-from saddledoor_standins.testbed import MODEL, until
 
 
 def test_one_key_at_two_vms_at_once_runs_once(bed, record_property):
@@ -89,7 +89,7 @@
     began = time.monotonic()
     refused = bed.book("dc-a-vm1", "r1", "k1")
     waited = time.monotonic() - began
-    share = share_answered(bed)
+    share = answered_share(bed)
     record_property("repeatable_answered", share)
     assert refused.code == 202 and refused.retry_after > 0
     assert waited < 5.0
@@ -122,7 +122,7 @@
     """
     record_property("promise", "at_most_once")
     bed.cut_data_centres()
-    share = share_answered(bed)
+    share = answered_share(bed)
     record_property("repeatable_answered", share)
     first = bed.book("dc-a-vm1", "r1", "k1")
     second = bed.book("dc-b-vm1", "r1", "k1", timeout=12.0)
--- a/tests/test_failures_samples.py
+++ b/tests/test_failures_samples.py
@@ -12,16 +12,16 @@
 import signal
 import time
 
-from beds import (
+from saddledoor_standins.fleet import read_json
+from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
+from testbed_helpers import (
     QUICK,
     BackgroundTrainer,
-    assert_step_is_right,
+    answered_share,
+    assert_step_correct,
     find_collector,
     make_plan,
-    share_answered,
 )
-from saddledoor_standins.fleet import read_json
-from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
 
 
 def test_labels_stay_true_while_engines_swap_badly(bed, record_property):
@@ -37,7 +37,7 @@
     time.sleep(0.5)
     bed.start_engine("engine-2", version=1)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
     assert result["samples_of_mixed_versions"] > 0
     until(lambda: bed.engine_versions() == {"engine-1": 2, "engine-2": 2})
 
@@ -56,7 +56,7 @@
         for action in ("stage", "activate"):
             order = {"fence": 0, "action": action, "model": MODEL, "version": 1}
             read_json(f"http://{address}/v1/orders", order)
-        assert_step_is_right(trainer.finish())
+        assert_step_correct(trainer.finish())
         until(lambda: bed.engine_versions()["engine-1"] == 2)
 
 
@@ -71,7 +71,7 @@
     time.sleep(0.5)
     bed.process(victim).signal(signal.SIGKILL)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
     assert result["submits"] > 1
 
 
@@ -88,7 +88,7 @@
     time.sleep(QUICK["lease_term"] * 1.5)
     bed.process(victim).signal(signal.SIGCONT)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
 
 
 def test_a_step_goes_on_while_the_log_is_away(bed, record_property):
@@ -100,10 +100,10 @@
     trainer.start()
     until(lambda: find_collector(bed))
     bed.cut_log()
-    share = share_answered(bed)
+    share = answered_share(bed)
     record_property("repeatable_answered", share)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
     assert share == 1.0
 
 
@@ -118,7 +118,7 @@
     until(lambda: bed.engine_versions().get("engine-1") == 2)
     bed.publish_weights(3)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
 
 
 def test_a_frozen_control_holder_gives_no_order_after_its_lease(record_property):
@@ -159,7 +159,7 @@
     trainer.start()
     until(lambda: bed.engine_versions().get("engine-2") == 2)
     bed.process(holder).signal(signal.SIGKILL)
-    assert_step_is_right(trainer.finish())
+    assert_step_correct(trainer.finish())
     until(lambda: bed.engine_versions() == {"engine-1": 2, "engine-2": 2})
 
 
@@ -178,7 +178,7 @@
     victim = until(running)
     time.sleep(0.4)
     bed.process(victim).signal(signal.SIGKILL)
-    assert_step_is_right(trainer.finish())
+    assert_step_correct(trainer.finish())
 
 
 def test_a_collector_killed_before_the_acknowledgement_doubles_nothing(
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -11,10 +11,10 @@
 import pytest
 from fake_log import FakeLog
 
-from builders import make_job, make_opened
-from saddledoor import ItemListed, ItemResult, JobBook, encode_job_record
+from builders import make_job, make_job_opened
+from saddledoor import ItemResult, ItemResultRecorded, JobFold, encode_job_record
 from saddledoord._clock import boot_time
-from saddledoord.cluster.changes import Changes
+from saddledoord.cluster.change_notifier import ChangeNotifier
 from saddledoord.cluster.follow import LogFollower, RegistryFollower
 from saddledoord.jobs.service import JobService
 from saddledoord.jobs.texts import TextStore
@@ -30,11 +30,13 @@
     A log that ends a waiting read as soon as there is news.
     """
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
         until = boot_time() + wait
         while len(self.records[stream]) <= start and boot_time() < until:
             await asyncio.sleep(0.002)
-        return await super().read(stream, start, 0.0, largest, patience)
+        return await super().read(stream, start, 0.0, max_bytes, answer_timeout)
 
 
 async def _write(log: FakeLog, seconds: float) -> int:
@@ -59,7 +61,10 @@
 
     async def play():
         follower = LogFollower(
-            log, "jobs", lambda offset, _: seen.append(offset), gather=lambda: gather
+            log,
+            "jobs",
+            lambda offset, _: seen.append(offset),
+            batch_delay=lambda: gather,
         )
         task = asyncio.create_task(follower.run())
         written = await _write(log, 1.0)
@@ -113,11 +118,13 @@
 
     async def play():
         texts = TextStore(log, 1000, 4000)
-        jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+        jobs = JobService(
+            log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _no, _no
+        )
         task = asyncio.create_task(jobs.run())
-        await log.append("jobs", [encode_job_record(make_opened(make_job(20)))])
+        await log.append("jobs", [encode_job_record(make_job_opened(make_job(20)))])
         for n in range(20):
-            result = ItemListed("job-a", ItemResult(f"item-{n}", False))
+            result = ItemResultRecorded("job-a", ItemResult(f"item-{n}", False))
             await log.append("jobs", [encode_job_record(result)])
             reading = await jobs.read("job-a", 0, 0.0)
             assert len(reading.results) == n + 1
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -11,15 +11,15 @@
 
 import pytest
 
-from builders import make_engine_entry, make_job, make_opened, make_route
+from builders import make_engine_entry, make_job, make_job_opened, make_route
 from saddledoor import (
     EngineDirectory,
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     ModelWeights,
     RouteTable,
     ScoreCall,
@@ -29,9 +29,9 @@
     decode_job_record,
     encode_job_items,
     encode_job_record,
-    engines_at_once,
-    followers,
-    wanted_loads,
+    following_engines,
+    max_concurrent_loads,
+    plan_weight_loads,
 )
 from saddledoor.exceptions import UndecodableRecordError
 
@@ -76,7 +76,7 @@
     directory = EngineDirectory()
     directory.put(make_engine_entry("e-1"))
     directory.put(make_engine_entry("e-2", draining=True))
-    directory.store_regained(10.0)
+    directory.record_store_recovery(10.0)
     directory.remove("e-1", 10.1)
     directory.remove("e-2", 10.1)
     assert [e.engine_id for e in directory.usable("desk", 12.4)] == ["e-1"]
@@ -89,7 +89,7 @@
     """
     directory = EngineDirectory()
     directory.put(make_engine_entry("e-1"))
-    directory.store_regained(10.0)
+    directory.record_store_recovery(10.0)
     directory.remove("e-1", 12.4)
     assert directory.usable("desk", 12.6) == []
 
@@ -97,10 +97,12 @@
 @pytest.mark.parametrize(
     "record",
     [
-        make_opened(make_job(), 3, 4),
-        ItemListed("j", ItemResult("i", True, StoredText((7, 9), 30), (1, 2), "mark")),
+        make_job_opened(make_job(), 3, 4),
+        ItemResultRecorded(
+            "j", ItemResult("i", True, StoredText((7, 9), 30), (1, 2), "mark")
+        ),
         ItemFailed("j", "i", "f-1", True),
-        ItemKept("j", "i", 3, 2, "c-1", "c-2", (1,), StoredText((8,), 20)),
+        ItemCheckpoint("j", "i", 3, 2, "c-1", "c-2", (1,), StoredText((8,), 20)),
         JobEnded("j"),
     ],
 )
@@ -143,8 +145,8 @@
     """
     Its submitter tried two nodes, each of which stored the items; the first counts.
     """
-    book = JobBook()
-    first, second = make_opened(make_job(), 1), make_opened(make_job(), 9)
+    book = JobFold()
+    first, second = make_job_opened(make_job(), 1), make_job_opened(make_job(), 9)
     for record in [first, JobEnded("job-a"), second]:
         book.apply(record)
     assert book.get("job-a").job == first
@@ -155,7 +157,9 @@
     """
     Nodes that do not run it have not read them.
     """
-    listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
+    listed = [
+        ItemResultRecorded("job-a", ItemResult(f"item-{n}", True)) for n in range(2)
+    ]
     assert len(_book_with(listed[0], listed[0]).open_jobs()) == 1
     assert _book_with(*listed).open_jobs() == []
 
@@ -183,7 +187,7 @@
     """
     Version 5 has been named.
     """
-    loads = wanted_loads([_weights(versions, oldest)])
+    loads = plan_weight_loads([_weights(versions, oldest)])
     assert loads == [(name, "m") for name in wanted]
 
 
@@ -194,7 +198,7 @@
     models = ("m", "n")
     served = _weights({"a": 5, "b": 4, "c": 4, "d": 3}, 4, models=models)
     starved = _weights({"a": 3, "b": 3, "c": 3, "d": 3}, 4, model="n", models=models)
-    loads = wanted_loads([served, starved])
+    loads = plan_weight_loads([served, starved])
     assert loads[:3] == [("a", "n"), ("b", "n"), ("c", "n")]
     assert sorted(loads[3:]) == [("d", "m"), ("d", "n")]
 
@@ -206,13 +210,13 @@
     versions = {"a": 3, "b": 3}
     first = _weights(versions, 4, model="n", models=("m", "n"))
     second = _weights(versions, 4, model="m", models=("m", "n"))
-    loads = wanted_loads([first, second])
+    loads = plan_weight_loads([first, second])
     assert loads == [("a", "n"), ("a", "m"), ("b", "n"), ("b", "m")]
 
 
-def _book_with(*records) -> JobBook:
-    book = JobBook()
-    for record in [make_opened(make_job()), *records]:
+def _book_with(*records) -> JobFold:
+    book = JobFold()
+    for record in [make_job_opened(make_job()), *records]:
         book.apply(record)
     return book
 
@@ -233,7 +237,9 @@
     """
     One whose items are all listed is open until its end is told.
     """
-    listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
+    listed = [
+        ItemResultRecorded("job-a", ItemResult(f"item-{n}", True)) for n in range(2)
+    ]
     book = _book_with(*listed)
     book.forget(now=299.0, ended_for=120.0, open_for=300.0)
     assert book.get("job-a") is not None
@@ -257,13 +263,13 @@
     """
     And no more: beyond what the sheets allow every load takes longer. One always may.
     """
-    counts = [engines_at_once(engines) for engines in (1, 2, 5, 6, 7, 22, 23)]
+    counts = [max_concurrent_loads(engines) for engines in (1, 2, 5, 6, 7, 22, 23)]
     assert counts == [1, 1, 2, 2, 2, 8, 9]
 
 
 def _followed(engines: list[str], models: tuple[str, ...], model: str) -> list[str]:
     versions = dict.fromkeys(engines, 1)
-    return followers(_weights(versions, 1, model=model, models=models))
+    return following_engines(_weights(versions, 1, model=model, models=models))
 
 
 def test_each_engine_follows_two_of_several_models():
@@ -295,16 +301,16 @@
     models = ("a", "b", "c")
     versions = {"e-1": 1, "e-2": 4, "e-3": 5, "e-4": 5, "e-5": 1, "e-6": 1}
     weights = _weights(versions, 4, model="c", models=models)
-    before = followers(weights)
+    before = following_engines(weights)
     assert {"e-2", "e-3", "e-4"} < set(before)
     left = {name: version for name, version in versions.items() if name != "e-3"}
-    after = followers(_weights(left, 4, model="c", models=models))
+    after = following_engines(_weights(left, 4, model="c", models=models))
     assert {"e-2", "e-4"} < set(after)
 
 
-def _kept(first: int, count: int, follows: str, chain: str) -> ItemKept:
+def _kept(first: int, count: int, follows: str, chain: str) -> ItemCheckpoint:
     place = StoredText((first, count), 1)
-    return ItemKept("job-a", "item-0", first, count, follows, chain, (1,), place)
+    return ItemCheckpoint("job-a", "item-0", first, count, follows, chain, (1,), place)
 
 
 def test_a_whole_text_takes_the_place_of_a_shorter_one_of_another_run():
--- a/tests/test_item_placement.py
+++ b/tests/test_item_placement.py
@@ -8,11 +8,18 @@
 
 from random import Random
 
-from saddledoor import Seat, TextLengths, choose_seat, is_worth_moving
-
-
-def _chosen(seats: list[Seat], is_long: bool, best: float | None = 0.040) -> str:
-    seat = choose_seat(seats, best, is_long)
+from saddledoor import (
+    PlacementCandidate,
+    TextLengthEstimator,
+    choose_placement,
+    is_worth_moving,
+)
+
+
+def _chosen(
+    seats: list[PlacementCandidate], is_long: bool, best: float | None = 0.040
+) -> str:
+    seat = choose_placement(seats, best, is_long)
     assert seat is not None
     return seat.name
 
@@ -21,7 +28,10 @@
     """
     Its step waits for it.
     """
-    seats = [Seat("slow", 0, 0, 0.052), Seat("fast", 9, 3, 0.040)]
+    seats = [
+        PlacementCandidate("slow", 0, 0, 0.052),
+        PlacementCandidate("fast", 9, 3, 0.040),
+    ]
     assert _chosen(seats, is_long=True) == "fast"
 
 
@@ -29,7 +39,10 @@
     """
     Each request that runs beside makes its events later.
     """
-    seats = [Seat("with-long", 3, 2, 0.0400), Seat("without", 5, 0, 0.0403)]
+    seats = [
+        PlacementCandidate("with-long", 3, 2, 0.0400),
+        PlacementCandidate("without", 5, 0, 0.0403),
+    ]
     assert _chosen(seats, is_long=True) == "without"
 
 
@@ -37,7 +50,10 @@
     """
     Also to a somewhat slower engine: it has time until the long ones end.
     """
-    seats = [Seat("fast", 3, 2, 0.040), Seat("slower", 9, 0, 0.052)]
+    seats = [
+        PlacementCandidate("fast", 3, 2, 0.040),
+        PlacementCandidate("slower", 9, 0, 0.052),
+    ]
     assert _chosen(seats, is_long=False) == "slower"
 
 
@@ -45,7 +61,10 @@
     """
     It would become the one that its step waits for.
     """
-    seats = [Seat("fast", 11, 5, 0.040), Seat("slow", 0, 0, 0.150)]
+    seats = [
+        PlacementCandidate("fast", 11, 5, 0.040),
+        PlacementCandidate("slow", 0, 0, 0.150),
+    ]
     assert _chosen(seats, is_long=False) == "fast"
 
 
@@ -53,9 +72,12 @@
     """
     One that was left alone for its slowness gets another chance.
     """
-    seats = [Seat("known", 2, 0, 0.050), Seat("unknown", 0, 0, None)]
+    seats = [
+        PlacementCandidate("known", 2, 0, 0.050),
+        PlacementCandidate("unknown", 0, 0, None),
+    ]
     assert _chosen(seats, is_long=True) == "unknown"
-    assert choose_seat([], None, True) is None
+    assert choose_placement([], None, True) is None
     assert _chosen(seats, is_long=True, best=None) == "unknown"
 
 
@@ -88,7 +110,7 @@
         150 if random.random() < 0.1 else random.randint(5, 50) for _ in range(400)
     ]
     guesses = [round(50 * n * random.lognormvariate(0, 0.5)) for n in events]
-    lengths = TextLengths()
+    lengths = TextLengthEstimator()
     lengths.announce(guesses)
     long = [lengths.is_long(guess, 0) for guess in guesses]
     found = sum(is_long for is_long, n in zip(long, events, strict=True) if n == 150)
@@ -100,7 +122,7 @@
     """
     Whatever was expected of it.
     """
-    lengths = TextLengths()
+    lengths = TextLengthEstimator()
     lengths.announce([1000] * 50 + [5000] * 10)
     for _ in range(20):
         lengths.finished(1000, 20)
@@ -112,18 +134,18 @@
     """
     Tokens for each event are learnt from the texts that ended.
     """
-    lengths = TextLengths()
+    lengths = TextLengthEstimator()
     for _ in range(9):
         lengths.finished(1000, 10)
-    assert lengths.left(3000, 5) == 25
+    assert lengths.remaining_events(3000, 5) == 25
     # It has outgrown its guess: the tail is heavy.
-    assert lengths.left(1000, 40) == 20
+    assert lengths.remaining_events(1000, 40) == 20
 
 
 def test_without_guesses_no_text_is_long():
     """
     Then all go where the least runs, as short ones do.
     """
-    lengths = TextLengths()
+    lengths = TextLengthEstimator()
     lengths.announce([0, 0])
     assert not lengths.is_long(0, 500)
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -8,9 +8,9 @@
 
 from builders import make_job, make_job_state
 from saddledoor import (
+    CheckpointedText,
     GeneratedEvent,
-    ItemKept,
-    KeptParts,
+    ItemCheckpoint,
     StoredText,
     decode_events,
 )
@@ -23,7 +23,7 @@
     """
 
     def __init__(self) -> None:
-        self.records: list[ItemKept] = []
+        self.records: list[ItemCheckpoint] = []
         self.texts: list[bytes] = []
         self._written = []
 
@@ -49,8 +49,8 @@
         assert run.text.take(GeneratedEvent(number, f"e{number}", 1), 1)
 
 
-def _hold(run: ItemRun, record: ItemKept) -> None:
-    kept = KeptParts(record.count, record.versions, record.chain, (record.text,))
+def _hold(run: ItemRun, record: ItemCheckpoint) -> None:
+    kept = CheckpointedText(record.count, record.versions, record.chain, (record.text,))
     run.state.kept[run.item.item_id] = kept
 
 
@@ -59,11 +59,11 @@
     Each event once.
     """
     run, writer = _run(3), _Writer()
-    run.keep(writer)
+    run.persist(writer)
     _hold(run, writer.records[0])
     writer.finish()
     _grow(run, 2)
-    run.keep(writer)
+    run.persist(writer)
     assert [(r.first, r.count) for r in writer.records] == [(1, 3), (4, 2)]
     assert writer.records[1].follows == writer.records[0].chain
 
@@ -73,11 +73,11 @@
     That one's last events came after this run had begun.
     """
     run, writer = _run(3), _Writer()
-    run.keep(writer)
+    run.persist(writer)
     writer.finish()
-    run.state.kept[run.item.item_id] = KeptParts(2, (1,), "another", ())
+    run.state.kept[run.item.item_id] = CheckpointedText(2, (1,), "another", ())
     _grow(run, 2)
-    run.keep(writer)
+    run.persist(writer)
     record = writer.records[1]
     assert (record.first, record.count, record.follows) == (1, 5, "")
     assert decode_events(writer.texts[1]) == ("e1", "e2", "e3", "e4", "e5")
@@ -88,7 +88,7 @@
     An item that is dropped then gives the rest, not everything again.
     """
     run, writer = _run(3), _Writer()
-    run.keep(writer)
+    run.persist(writer)
     _grow(run, 2)
-    run.keep(writer)
+    run.persist(writer)
     assert [(r.first, r.count) for r in writer.records] == [(1, 3), (4, 2)]
--- a/tests/test_job_items.py
+++ b/tests/test_job_items.py
@@ -13,14 +13,14 @@
 from fake_log import FakeLog
 
 from builders import make_job
-from saddledoor import Job, JobBook, NotRun
+from saddledoor import Job, JobFold, NotRun
 from saddledoord._clock import boot_time
-from saddledoord.cluster.changes import Changes
+from saddledoord.cluster.change_notifier import ChangeNotifier
 from saddledoord.jobs import service as service_module
 from saddledoord.jobs.item_loader import ItemLoader
-from saddledoord.jobs.service import Accepted, JobReading, JobService
+from saddledoord.jobs.service import Accepted, JobResultsPage, JobService
 from saddledoord.jobs.texts import TextStore
-from saddledoord.ports import UnknownAppend
+from saddledoord.ports import AppendOutcomeUnknown
 
 
 #: Items of a step, a count, and bytes of each one's body.
@@ -39,7 +39,9 @@
 
     def __init__(self, log: FakeLog) -> None:
         texts = TextStore(log, largest_record=1000, largest_append=4000)
-        self.jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+        self.jobs = JobService(
+            log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _no, _no
+        )
 
     @asynccontextmanager
     async def running(self):
@@ -56,10 +58,10 @@
     A log whose stream of texts takes nothing.
     """
 
-    async def append(self, stream, records, patience=1.5):
+    async def append(self, stream, records, answer_timeout=1.5):
         if stream == "texts":
-            return UnknownAppend("away")
-        return await super().append(stream, records, patience)
+            return AppendOutcomeUnknown("away")
+        return await super().append(stream, records, answer_timeout)
 
 
 def _large_job() -> Job:
@@ -79,7 +81,7 @@
         async with _Node(log).running() as jobs:
             assert await jobs.submit(_large_job()) == Accepted()
         async with _Node(log).running() as other:
-            assert await other.read("job-a", 0, 0.0) == JobReading(_ITEMS, 0, ())
+            assert await other.read("job-a", 0, 0.0) == JobResultsPage(_ITEMS, 0, ())
 
     asyncio.run(play())
     assert sum(map(len, log.records["jobs"])) < 150
@@ -139,14 +141,14 @@
             (state,) = other.open_jobs()
             log.away = True
             for _ in range(3):
-                loader.want(state)
+                loader.request_items(state)
             await asyncio.wait_for(tried.wait(), 2.0)
             assert state.items is None
             assert log.reads["texts"] == 1
             log.away = False
             tried.clear()
-            loader.want(state)
+            loader.request_items(state)
             await asyncio.wait_for(tried.wait(), 2.0)
-            assert len(list(state.unlisted())) == _ITEMS
+            assert len(list(state.items_without_result())) == _ITEMS
 
     asyncio.run(play())
--- a/tests/test_known_ends.py
+++ b/tests/test_log_freshness.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from saddledoord.jobs.known_ends import KnownEnds, LogView
-from saddledoord.standstills import Standstills
+from saddledoord.jobs.log_freshness import LogFreshness, LogReadState
+from saddledoord.process_pauses import ProcessPauses
 
 
 _NOW = 100.0
@@ -17,9 +17,9 @@
 
 
 def _known(age: float, reached: bool = True, awake_for: float | None = None):
-    awake_since = _NEVER if awake_for is None else _NOW - awake_for
-    view = LogView(_NOW - age, reached, awake_since)
-    return KnownEnds(lambda: view, cancel_time=3.0)
+    resumed_at = _NEVER if awake_for is None else _NOW - awake_for
+    view = LogReadState(_NOW - age, reached, resumed_at)
+    return LogFreshness(lambda: view, cancel_limit=3.0)
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     Whichever task goes on first asks about it.
     """
     clock = _Clock()
-    standstills = Standstills(clock)
+    standstills = ProcessPauses(clock)
     assert standstills.ended_at == _NEVER
     clock.now += 4.0
     assert standstills.ended_at == clock.now
@@ -76,7 +76,7 @@
     Its beats come late, but they come.
     """
     clock = _Clock()
-    standstills = Standstills(clock)
+    standstills = ProcessPauses(clock)
     for _ in range(10):
         clock.now += 0.3
         assert standstills.count == 0
@@ -87,10 +87,10 @@
     Later than that it has come since.
     """
     clock = _Clock()
-    standstills = Standstills(clock)
+    standstills = ProcessPauses(clock)
     clock.now += 4.0
-    assert standstills.held_up() == pytest.approx(4.0)
+    assert standstills.read_delay() == pytest.approx(4.0)
     clock.now += 0.1
-    assert standstills.held_up() == pytest.approx(4.0)
+    assert standstills.read_delay() == pytest.approx(4.0)
     clock.now += 0.2
-    assert standstills.held_up() == 0.0
+    assert standstills.read_delay() == 0.0
--- a/tests/test_page_size.py
+++ b/tests/test_page_size.py
@@ -13,7 +13,7 @@
 
 from saddledoor import PageSize
 from saddledoord.cluster.follow import LogFollower
-from saddledoord.ports import StoreAwayError
+from saddledoord.ports import StoreUnavailableError
 
 
 #: What the link carries for all readers together, in bytes a second.
@@ -93,10 +93,12 @@
         super().__init__(largest_record=100_000)
         self._room = room
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        if largest > self._room:
-            raise StoreAwayError("too slow")
-        return await super().read(stream, start, wait, largest, patience)
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
+        if max_bytes > self._room:
+            raise StoreUnavailableError("too slow")
+        return await super().read(stream, start, wait, max_bytes, answer_timeout)
 
 
 def test_a_follower_asks_for_less_until_it_is_answered():
--- a/tests/test_pass_through.py
+++ b/tests/test_pass_through.py
@@ -15,7 +15,7 @@
 from builders import make_engine_entry, make_request, make_route
 from saddledoor import OutcomeUnknown, RouteKind, ScoreCall
 from saddledoord._clock import boot_time
-from saddledoord.jobs.scoring import ScoreImpossibleError, Scorer
+from saddledoord.jobs.scoring import Scorer, ScoringFailedError
 from saddledoord.ports import EngineAnswer
 
 
@@ -47,7 +47,7 @@
     engines = FunctionEngines(answer)
     serving, pool, _ = make_pass_through(engines, make_route("/look/"))
     for index in range(2):
-        pool.failed(make_engine_entry(f"desk-{index}"))
+        pool.record_failure(make_engine_entry(f"desk-{index}"))
     outcome = asyncio.run(serving.serve(make_request("/look/x"), 1.0))
     assert isinstance(outcome, EngineAnswer)
     assert len(engines.asked) == 1
@@ -70,7 +70,7 @@
     scorer = Scorer(view, serving)
     try:
         mark = asyncio.run(scorer.score(call, 0, failed, lambda: True))
-    except ScoreImpossibleError:
+    except ScoringFailedError:
         mark = None
     return mark, engines.asked, failures
 
@@ -121,7 +121,7 @@
     assert engines.asked == ["desk-0", "desk-1"]
     # Least outstanding takes the first of two alike, unless it comes after the others.
     assert pool.choose("desk").engine_id == next_choice
-    with pool.take(make_engine_entry("desk-0")):
+    with pool.reserve(make_engine_entry("desk-0")):
         assert pool.choose("desk").engine_id == "desk-1"
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,7 +17,7 @@
     make_job_state,
     make_route,
 )
-from saddledoor import EngineMemory, GatewayService, Incarnation, least_outstanding
+from saddledoor import EngineTables, GatewayService, Incarnation, least_outstanding
 from saddledoord._clock import boot_time
 from saddledoord.cluster.view import ClusterView
 from saddledoord.jobs.item_run import ItemRun
@@ -46,17 +46,17 @@
         for index, version in enumerate(versions):
             entry = make_engine_entry(f"e-{index}", versions={"model-a": version})
             self.view.apply_engine(KeyedEntry(entry.engine_id, index, entry))
-        self.paces = EnginePaces(self.view.memory)
+        self.paces = EnginePaces(self.view.engine_tables)
         pool = EnginePool(self.view, least_outstanding(lambda: 0.0))
         self.silent: set[Incarnation] = set()
         self.placement = Placement(self.view, pool, self.paces, self.silent)
         self._oldest = oldest
         self.run = self.item()
 
-    def item(self, expected_tokens: int = 2000, known_since: float = 0.0) -> ItemRun:
+    def item(self, expected_tokens: int = 2000, first_seen_at: float = 0.0) -> ItemRun:
         job = replace(make_job(1), oldest_version=self._oldest)
         item = replace(job.items[0], expected_tokens=expected_tokens)
-        return ItemRun.begin(make_job_state(job, known_since), item)
+        return ItemRun.begin(make_job_state(job, first_seen_at), item)
 
     def pace(self, engine_id: str, gap: float) -> None:
         self.paces.observe(Incarnation(engine_id), gap, boot_time())
@@ -85,7 +85,7 @@
     bed = _Bed([1, 2], oldest=2)
     assert bed.chosen() == "e-1"
     assert bed.chosen("e-1") is None
-    bed.placement.saw(make_engine_entry("e-0"), "model-a", 2)
+    bed.placement.note_version(make_engine_entry("e-0"), "model-a", 2)
     assert bed.chosen("e-1") == "e-0"
 
 
@@ -123,7 +123,7 @@
     bed = _Bed([1, 1])
     engine = make_engine_entry("e-0")
     now = boot_time()
-    bed.placement.take(bed.run, engine)
+    bed.placement.reserve(bed.run, engine)
     bed.run.times.enter(ItemPhase.EVENTS, now)
     bed.paces.observe(engine.incarnation, None, now)
     other = bed.item()
@@ -140,7 +140,7 @@
     """
     bed = _Bed([1])
     short, long = bed.item(expected_tokens=500), bed.item(expected_tokens=9000)
-    later = bed.item(expected_tokens=500, known_since=1.0)
+    later = bed.item(expected_tokens=500, first_seen_at=1.0)
     order = sorted([later, short, long], key=bed.placement.latest_start)
     assert order == [long, short, later]
 
@@ -151,7 +151,7 @@
     """
     bed = _Bed([1, 1])
     first = bed.chosen()
-    place = bed.placement.take(bed.run, make_engine_entry(first))
+    place = bed.placement.reserve(bed.run, make_engine_entry(first))
     assert bed.chosen() != first
     place.release()
     place.release()
@@ -162,7 +162,7 @@
     """
     Weights that load under a stream hold it up for 0.9 s.
     """
-    paces, engine = EnginePaces(EngineMemory()), Incarnation("e-1")
+    paces, engine = EnginePaces(EngineTables()), Incarnation("e-1")
     paces.observe(engine, 0.04, 10.0)
     paces.observe(engine, 0.9, 10.9)
     assert paces.gap(engine, 11.0) == 0.04
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,8 +12,8 @@
 
 from saddledoor import (
     BackendReport,
+    BackendRequirement,
     Candidate,
-    Choose,
     EngineWeights,
     FairQueue,
     HeldLease,
@@ -24,13 +24,13 @@
     LeaseWatch,
     MemberEntry,
     MemberTable,
-    Need,
     RetryBudget,
+    RoutingPolicy,
     WorkClass,
+    is_eligible,
     least_outstanding,
-    may_use,
+    least_outstanding_rendezvous,
     next_orders,
-    own_order,
     rendezvous,
 )
 
@@ -58,7 +58,7 @@
     assert len({choose(idle).name for _ in range(50)}) == 4
 
 
-def _connections(policies: list[Choose], engines: int) -> tuple[int, float]:
+def _connections(policies: list[RoutingPolicy], engines: int) -> tuple[int, float]:
     """
     Return the connections that nodes open to engines for 30 requests each, a tenth of
     which come while another is under way, and the busiest engine over the mean.
@@ -87,7 +87,9 @@
     before, _ = _connections(
         [least_outstanding(Random(n).random) for n in range(195)], 14
     )
-    after, busiest = _connections([own_order(node) for node in nodes], 14)
+    after, busiest = _connections(
+        [least_outstanding_rendezvous(node) for node in nodes], 14
+    )
     assert before > 2000
     assert after < 2.5 * len(nodes)
     assert busiest < 1.5
@@ -97,7 +99,7 @@
     """
     Its own order only decides between engines that have the same of it.
     """
-    choose = own_order("vm-1")
+    choose = least_outstanding_rendezvous("vm-1")
     own: Counter[str] = Counter()
     for _ in range(28):
         all_of = [Candidate(f"e-{n}", slots=6, own=own[f"e-{n}"]) for n in range(14)]
@@ -234,8 +236,8 @@
     lease = LeaseFold().apply(0, LeaseClaim("x", "l", "vm-a", -1)).get("l")
     watch.observe(lease, 10.1)
     assert held.may_act(15.9) and not held.may_act(15.9, margin=0.2)
-    assert not watch.may_take(lease, 16.0)
-    assert watch.may_take(lease, 10.1 + 6.0 * 1.1 + 0.01)
+    assert not watch.may_claim(lease, 16.0)
+    assert watch.may_claim(lease, 10.1 + 6.0 * 1.1 + 0.01)
 
 
 def _entry(seq: int, started: int = 1) -> MemberEntry:
@@ -279,9 +281,9 @@
     """
     An engine that reported none, or an old one, gets no training work.
     """
-    need = Need("m", 3)
+    requirement = BackendRequirement("m", 3)
     new = BackendReport("e", True, 0.0, 0.0, versions={"m": 3})
     old = BackendReport("e", True, 0.0, 0.0, versions={"m": 2})
-    assert may_use("serving", new, need, 0.0)
-    assert not may_use("serving", old, need, 0.0)
-    assert not may_use("serving", None, need, 0.0)
+    assert is_eligible("serving", new, requirement, 0.0)
+    assert not is_eligible("serving", old, requirement, 0.0)
+    assert not is_eligible("serving", None, requirement, 0.0)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -37,7 +37,7 @@
 
 
 def _room(pool: EnginePool, engine: EngineEntry, model: str) -> bool:
-    return engine in pool.with_room(engine.service, model)
+    return engine in pool.with_free_slots(engine.service, model)
 
 
 def test_an_engine_that_refuses_one_model_takes_items_of_the_others():
@@ -45,7 +45,7 @@
     It loads the weights of that one.
     """
     pool, engine = _pool()
-    pool.refused(engine, "model-a")
+    pool.record_refusal(engine, "model-a")
     assert not _room(pool, engine, "model-a")
     assert _room(pool, engine, "model-b")
 
@@ -55,11 +55,11 @@
     Otherwise every waiting item comes to the engine again after each of them.
     """
     pool, engine = _pool()
-    pool.refused(engine, "model-a")
-    pool.answered(engine, "model-b")
-    pool.answered(engine)
+    pool.record_refusal(engine, "model-a")
+    pool.record_success(engine, "model-b")
+    pool.record_success(engine)
     assert not _room(pool, engine, "model-a")
-    pool.answered(engine, "model-a")
+    pool.record_success(engine, "model-a")
     assert _room(pool, engine, "model-a")
 
 
@@ -68,10 +68,10 @@
     The others wait for what becomes of it.
     """
     pool, engine = _pool()
-    pool.refused(engine, "model-a")
+    pool.record_refusal(engine, "model-a")
     monkeypatch.setattr("saddledoord.serving.pool.boot_time", lambda: 1e9)
     assert _room(pool, engine, "model-a")
-    with pool.take(engine, "model-a"):
+    with pool.reserve(engine, "model-a"):
         assert not _room(pool, engine, "model-a")
     assert _room(pool, engine, "model-a")
 
@@ -81,7 +81,7 @@
     A pause is a guess, a refusal is certain.
     """
     pool, engine = _pool()
-    pool.refused(engine)
+    pool.record_refusal(engine)
     assert pool.choose(engine.service) == engine
 
 
@@ -91,11 +91,11 @@
     """
     pool, slow, other = _pool_of_two()
     assert pool.choose("desk") == slow
-    pool.overtaken(slow)
+    pool.record_overtaken(slow)
     assert pool.choose("desk") == other
-    pool.failed(other)
+    pool.record_failure(other)
     assert pool.choose("desk") == slow
     now = boot_time()
     monkeypatch.setattr("saddledoord.serving.pool.boot_time", lambda: now + 5.0)
-    pool.answered(other)
+    pool.record_success(other)
     assert pool.choose("desk") == slow
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -29,7 +29,7 @@
         "LeaseRenewal",
         "LeaseWatch",
     },
-    "placement": {"Candidate", "Choose"},
+    "placement": {"Candidate", "RoutingPolicy"},
     "records": {"decode_record", "encode_record"},
     "retries": {"NotRun", "OutcomeUnknown", "ResultCode"},
 }
--- a/tests/test_spread_texts.py
+++ b/tests/test_spread_texts.py
@@ -22,19 +22,19 @@
 import pytest
 from fake_log import FakeLog
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     StoredText,
     encode_job_record,
 )
-from saddledoord.cluster.changes import Changes
-from saddledoord.jobs.service import JobReading, JobService, Unsure
+from saddledoord.cluster.change_notifier import ChangeNotifier
+from saddledoord.jobs.service import JobResultsPage, JobService, JobStateUnknown
 from saddledoord.jobs.texts import TextStore
-from saddledoord.ports import StoreAwayError
+from saddledoord.ports import StoreUnavailableError
 
 
 #: What a node's link brings of pages, in bytes a second; it is the record's figure.
@@ -66,12 +66,14 @@
         self._sending = asyncio.Lock()
         self._left = fail_after
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        page = await super().read(stream, start, wait, largest, patience)
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
+        page = await super().read(stream, start, wait, max_bytes, answer_timeout)
         if stream == "texts":
             self._left -= 1
             if self._left < 0:
-                raise StoreAwayError("too slow")
+                raise StoreUnavailableError("too slow")
             async with self._sending:
                 await asyncio.sleep(sum(map(len, page.records)) / _LINK)
         return page
@@ -83,7 +85,7 @@
     Run a node that holds none of the texts.
     """
     texts = TextStore(log, largest_record=_LARGEST, largest_append=8 * _LARGEST)
-    jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+    jobs = JobService(log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _no, _no)
     task = asyncio.create_task(jobs.run())
     await jobs.sync()
     try:
@@ -99,12 +101,12 @@
     """
     log = FakeLog(largest_record=_LARGEST)
     for name in names:
-        records = [make_opened(make_job(_ITEMS, name))]
+        records = [make_job_opened(make_job(_ITEMS, name))]
         for n in range(_ITEMS):
             place = len(log.records["texts"])
             log.records["texts"] += [_text(n).encode(), bytes(_BETWEEN)]
             result = ItemResult(f"item-{n}", True, StoredText((place,), _TEXT))
-            records.append(ItemListed(name, result))
+            records.append(ItemResultRecorded(name, result))
         records.append(JobEnded(name))
         log.records["jobs"] += map(encode_job_record, records)
     return log
@@ -116,7 +118,7 @@
 
 async def _ask(
     jobs: JobService, position: int, job_id: str = "job-a"
-) -> JobReading | None:
+) -> JobResultsPage | None:
     """
     Read as a caller does, who leaves when it has waited long enough.
     """
@@ -125,7 +127,7 @@
             reading = await jobs.read(job_id, position, 0.0)
     except TimeoutError:
         return None
-    return reading if isinstance(reading, JobReading) else None
+    return reading if isinstance(reading, JobResultsPage) else None
 
 
 async def _read_whole(ask, most_asks: int) -> list[str]:
@@ -211,7 +213,7 @@
         async with _node(_Link(log, fail_after=0)) as jobs:
             return await jobs.read("job-a", 0, 0.0)
 
-    assert isinstance(asyncio.run(play()), Unsure)
+    assert isinstance(asyncio.run(play()), JobStateUnknown)
 
 
 class _NarrowLog(FakeLog):
@@ -224,10 +226,12 @@
         self.records = log.records
         self._room = room
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        if stream == "texts" and largest > self._room:
-            raise StoreAwayError("too slow")
-        return await super().read(stream, start, wait, largest, patience)
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
+        if stream == "texts" and max_bytes > self._room:
+            raise StoreUnavailableError("too slow")
+        return await super().read(stream, start, wait, max_bytes, answer_timeout)
 
 
 def test_texts_are_asked_for_in_smaller_pages_after_one_that_did_not_come():
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -13,14 +13,20 @@
 from fake_log import FakeLog
 
 from builders import make_job
-from saddledoor import ItemListed, ItemResult, JobBook, StoredText, encode_job_record
+from saddledoor import (
+    ItemResult,
+    ItemResultRecorded,
+    JobFold,
+    StoredText,
+    encode_job_record,
+)
 from saddledoord._clock import boot_time
-from saddledoord.cluster.changes import Changes
+from saddledoord.cluster.change_notifier import ChangeNotifier
 from saddledoord.cluster.follow import LogFollower
 from saddledoord.cluster.store_watch import StoreWatch, WatchedLog
-from saddledoord.jobs.service import Accepted, JobReading, JobService
+from saddledoord.jobs.service import Accepted, JobResultsPage, JobService
 from saddledoord.jobs.texts import TextStore
-from saddledoord.ports import LogPage, StoreAwayError
+from saddledoord.ports import LogPage, StoreUnavailableError
 
 
 #: What the store sends to all nodes together and to one node, in bytes a second.
@@ -67,19 +73,21 @@
         self.records = log.records
         self._lines = (shared, _Line(_OWN))
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
         held = self.records[stream]
         if start >= len(held):
             await asyncio.sleep(wait)
             return LogPage(start, (), len(held))
         stop, size = start + 1, len(held[start])
-        while stop < len(held) and size + len(held[stop]) <= largest:
+        while stop < len(held) and size + len(held[stop]) <= max_bytes:
             size += len(held[stop])
             stop += 1
         needed = max(line.sent_at(size) for line in self._lines) - boot_time()
-        await asyncio.sleep(min(needed, patience))
-        if needed > patience:
-            raise StoreAwayError("too slow")
+        await asyncio.sleep(min(needed, answer_timeout))
+        if needed > answer_timeout:
+            raise StoreUnavailableError("too slow")
         return LogPage(start, tuple(held[start:stop]), len(held))
 
 
@@ -89,7 +97,7 @@
 
 def _service(log) -> JobService:
     texts = TextStore(log, largest_record=_LARGEST, largest_append=8 * _LARGEST)
-    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+    return JobService(log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _no, _no)
 
 
 def _watched(log: FakeLog) -> WatchedLog:
@@ -117,7 +125,7 @@
     for n in range(_ITEMS):
         place = StoredText((len(log.records["texts"]),), _TEXT)
         log.records["texts"].append(b"a" * _TEXT)
-        result = ItemListed(job_id, ItemResult(f"item-{n}", True, place))
+        result = ItemResultRecorded(job_id, ItemResult(f"item-{n}", True, place))
         log.records["jobs"].append(encode_job_record(result))
 
 
@@ -132,7 +140,7 @@
                 reading = await jobs.read(job_id, 0, 0.0)
         except TimeoutError:
             continue
-        if isinstance(reading, JobReading) and reading.results:
+        if isinstance(reading, JobResultsPage) and reading.results:
             break
         await asyncio.sleep(0.1)
     return boot_time() - began
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -12,7 +12,7 @@
 from fake_log import FakeLog
 
 from saddledoord.cluster.store_watch import StoreWatch, WatchedLog
-from saddledoord.ports import Appended, StoreAwayError, UnknownAppend
+from saddledoord.ports import Appended, AppendOutcomeUnknown, StoreUnavailableError
 
 
 class _SilentLog(FakeLog):
@@ -24,15 +24,17 @@
         super().__init__()
         self.silent = silent
 
-    async def append(self, stream, records, patience=1.5):
+    async def append(self, stream, records, answer_timeout=1.5):
         if stream in self.silent:
             await asyncio.sleep(3600)
-        return await super().append(stream, records, patience)
+        return await super().append(stream, records, answer_timeout)
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
         if stream in self.silent:
             await asyncio.sleep(3600)
-        return await super().read(stream, start, wait, largest, patience)
+        return await super().read(stream, start, wait, max_bytes, answer_timeout)
 
 
 class _Bed:
@@ -77,7 +79,7 @@
         asking = asyncio.create_task(bed.keep_asking(2.0))
 
         async def read():
-            with pytest.raises(StoreAwayError, match="silent"):
+            with pytest.raises(StoreUnavailableError, match="silent"):
                 await bed.log.read("old", 0, wait=0.3)
 
         assert 0.6 < await _took(read()) < 1.0
@@ -114,7 +116,7 @@
         await asyncio.sleep(0.6)
         assert not append.done()
         assert isinstance(await bed.log.append("new", [b"r"]), Appended)
-        assert isinstance(await append, UnknownAppend)
+        assert isinstance(await append, AppendOutcomeUnknown)
 
     asyncio.run(play())
 
@@ -127,7 +129,7 @@
     async def play():
         bed = _Bed()
         asking = asyncio.create_task(bed.keep_asking(1.2))
-        read = asyncio.create_task(bed.log.read("old", 0, patience=3.0))
+        read = asyncio.create_task(bed.log.read("old", 0, answer_timeout=3.0))
         await asking
         assert not read.done()
         read.cancel()
--- a/tests/test_texts.py
+++ b/tests/test_texts.py
@@ -15,7 +15,7 @@
 from saddledoord.cluster.follow import LogFollower
 from saddledoord.jobs import texts as texts_module
 from saddledoord.jobs.texts import TextStore
-from saddledoord.ports import StoreAwayError
+from saddledoord.ports import StoreUnavailableError
 
 
 def _store(log: FakeLog) -> TextStore:
@@ -82,7 +82,7 @@
         return await asyncio.gather(*reads, return_exceptions=True)
 
     outcomes = asyncio.run(play())
-    assert all(isinstance(outcome, StoreAwayError) for outcome in outcomes)
+    assert all(isinstance(outcome, StoreUnavailableError) for outcome in outcomes)
     assert log.reads["texts"] == 1
 
 
@@ -90,7 +90,7 @@
     """
     Not an empty text.
     """
-    with pytest.raises(StoreAwayError):
+    with pytest.raises(StoreUnavailableError):
         asyncio.run(_store(FakeLog()).read([StoredText((3,), 10)]))
 
 
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 from structlog.testing import capture_logs
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     JobOpened,
     LeaseClaim,
     LeaseFold,
@@ -39,20 +39,20 @@
 )
 from saddledoor.exceptions import UndecodableRecordError
 from saddledoord._clock import boot_time
-from saddledoord.cluster.changes import Changes
+from saddledoord.cluster.change_notifier import ChangeNotifier
 from saddledoord.cluster.leases import LeaseLog
 from saddledoord.jobs.item_loader import ItemLoader
 from saddledoord.jobs.service import JobService
 from saddledoord.jobs.texts import TextStore
 
 
-_OPENED = make_opened(make_job(2))
+_OPENED = make_job_opened(make_job(2))
 _PLACE = StoredText((0,), 4)
 _RECORDS = (
     _OPENED,
-    ItemListed("job-a", ItemResult("item-0", True, _PLACE, (1, 2), "mark")),
+    ItemResultRecorded("job-a", ItemResult("item-0", True, _PLACE, (1, 2), "mark")),
     ItemFailed("job-a", "item-1", "f-1", True),
-    ItemKept("job-a", "item-1", 1, 2, "", "c-1", (1,), _PLACE),
+    ItemCheckpoint("job-a", "item-1", 1, 2, "", "c-1", (1,), _PLACE),
     JobEnded("job-a"),
 )
 #: A job's record whose fields are of other types, or too few or too many.
@@ -105,7 +105,7 @@
 
 def _jobs(log: FakeLog) -> JobService:
     texts = TextStore(log, 1000, 4000)
-    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+    return JobService(log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _no, _no)
 
 
 async def _while_running(
@@ -195,7 +195,10 @@
             ItemResult("item-0", True, StoredText((0,), 3), (1,), "mark"),
             ItemResult("item-1", True, StoredText((1,), 4), (1,), "mark"),
         ]
-        records = [_OPENED, *(ItemListed("job-a", result) for result in results)]
+        records = [
+            _OPENED,
+            *(ItemResultRecorded("job-a", result) for result in results),
+        ]
         await log.append("jobs", [encode_job_record(record) for record in records])
         for _ in range(2):
             reading = await jobs.read("job-a", 0, 0.0)
@@ -224,14 +227,14 @@
     async def check():
         items = encode_job_items(good.items)
         (_, placed) = await texts.write([b"\xff" * 4, items], boot_time() + 1.0)
-        bad = make_opened(make_job(2), 0)
+        bad = make_job_opened(make_job(2), 0)
         records = [bad, JobOpened.of(good, placed)]
         await log.append("jobs", [encode_job_record(record) for record in records])
         assert await jobs.sync()
         until = boot_time() + 0.8
         while boot_time() < until:
             for state in jobs.open_jobs():
-                loader.want(state)
+                loader.request_items(state)
             await asyncio.sleep(0.02)
         (unread, read) = jobs.open_jobs()
         assert (unread.items, len(read.items)) == (None, 1)
@@ -272,7 +275,7 @@
     """
     What is folded is used far from where an error could still be told apart.
     """
-    book = JobBook()
+    book = JobFold()
     for record in _RECORDS[:4]:
         book.apply(record, boot_time())
     try:
--- a/tests/test_silence.py
+++ b/tests/test_unresponsive_engines.py
@@ -9,9 +9,9 @@
 import asyncio
 
 from builders import make_engine_entry
-from saddledoor import EngineMemory, Incarnation
+from saddledoor import EngineTables, Incarnation
 from saddledoord.ports import EngineState
-from saddledoord.serving.silence import SilentEngines
+from saddledoord.serving.unresponsive_engines import UnresponsiveEngines
 
 
 class _Engines:
@@ -38,10 +38,10 @@
 
     async def play():
         engines = _Engines(silent_for=3)
-        silent = SilentEngines(engines, EngineMemory())
+        silent = UnresponsiveEngines(engines, EngineTables())
         engine = make_engine_entry("e-1")
         for _ in range(5):
-            silent.note(engine)
+            silent.probe(engine)
         assert Incarnation("e-1") in silent
         assert Incarnation("e-2") not in silent
         while Incarnation("e-1") in silent:
@@ -58,9 +58,9 @@
 
     async def play():
         engines = _Engines(silent_for=0)
-        silent = SilentEngines(engines, EngineMemory())
+        silent = UnresponsiveEngines(engines, EngineTables())
         for asked in (1, 2):
-            silent.note(make_engine_entry("e-1"))
+            silent.probe(make_engine_entry("e-1"))
             await asyncio.sleep(0.05)
             assert Incarnation("e-1") not in silent
             assert engines.asked == asked
@@ -72,11 +72,11 @@
     """
     It may serve all the same.
     """
-    monkeypatch.setattr("saddledoord.serving.silence._LIMIT", 0.3)
+    monkeypatch.setattr("saddledoord.serving.unresponsive_engines._LIMIT", 0.3)
 
     async def play():
-        silent = SilentEngines(_Engines(silent_for=1000), EngineMemory())
-        silent.note(make_engine_entry("e-1"))
+        silent = UnresponsiveEngines(_Engines(silent_for=1000), EngineTables())
+        silent.probe(make_engine_entry("e-1"))
         await asyncio.sleep(0.2)
         assert Incarnation("e-1") in silent
         await asyncio.sleep(0.3)
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -23,9 +23,9 @@
     LeaseFold,
     LeaseRenewal,
     LeaseWatch,
-    UsageBook,
     UsageCounted,
     UsageDecided,
+    UsageFold,
     UsageMeter,
 )
 
@@ -38,7 +38,7 @@
 _RUNS, _STEPS = 400, 80
 
 
-class _LastDecisionBook(UsageBook):
+class _LastDecisionBook(UsageFold):
     """
     A book that is wrong: the last decision on a window counts.
     """
@@ -59,7 +59,7 @@
     """
 
     name: str
-    book: UsageBook
+    book: UsageFold
     meter: UsageMeter = field(init=False)
     leases: LeaseFold = field(default_factory=LeaseFold)
     watch: LeaseWatch = field(default_factory=lambda: LeaseWatch(_TERM))
@@ -77,7 +77,7 @@
     One run; ``sent`` is what reached the platform: holder, fence, counts.
     """
 
-    def __init__(self, seed: int, make_book: Callable[[], UsageBook]) -> None:
+    def __init__(self, seed: int, make_book: Callable[[], UsageFold]) -> None:
         self._draw = random.Random(seed)
         self._now = 0.0
         self._log: list[object] = []
@@ -122,7 +122,7 @@
         fate = self._draw.choice(("done", "done", "unanswered", "late"))
         self._append(records, fate)
         if fate != "done":
-            node.meter.give_back(records)
+            node.meter.requeue(records)
 
     def _late_append(self) -> None:
         if self._late:
@@ -138,12 +138,12 @@
         if lease is not None and lease.holder == node.name:
             self._take(node)
             return
-        if not node.watch.may_take(lease, self._now):
+        if not node.watch.may_claim(lease, self._now):
             return
         node.claims += 1
         node.claim_at = self._now
         name = f"{node.name} {node.claims}"
-        seen = lease.last if lease else -1
+        seen = lease.last_offset if lease else -1
         self._log.append(LeaseClaim(name, _LEASE, node.name, seen))
         if not paused:
             self._take(node)
@@ -198,7 +198,7 @@
         node.watch.observe(node.leases.get(_LEASE), self._now)
 
 
-def _plays(make_book: Callable[[], UsageBook]) -> list[_Play]:
+def _plays(make_book: Callable[[], UsageFold]) -> list[_Play]:
     """
     Return runs that have ended; none at whose steps two nodes might act.
     """
@@ -218,7 +218,7 @@
     """
     Several holders report it in many of the runs, and no fence has two of them.
     """
-    plays = _plays(UsageBook)
+    plays = _plays(UsageFold)
     assert not any(_differ(play) for play in plays)
     holders = [{holder for holder, _, _ in play.sent} for play in plays]
     assert sum(len(several) > 1 for several in holders) > _RUNS / 10
@@ -238,6 +238,6 @@
     """
     So the runs meet holders that another one has replaced.
     """
-    monkeypatch.setattr(LeaseWatch, "may_take", lambda *_: True)
+    monkeypatch.setattr(LeaseWatch, "may_claim", lambda *_: True)
     with pytest.raises(AssertionError):
-        _plays(UsageBook)
+        _plays(UsageFold)
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from builders import make_job, make_opened, make_route
+from builders import make_job, make_job_opened, make_route
 from saddledoor import (
     Admitted,
-    KeyBounds,
+    KeyFreshnessBounds,
     NotRun,
     ResultCode,
     RouteKind,
@@ -24,14 +24,16 @@
 )
 
 
-_LENIENT = KeyBounds(known_within=2.0)
-_STRICT = KeyBounds(known_within=2.0, gone_within=5.0)
+_LENIENT = KeyFreshnessBounds(propagation_limit=2.0)
+_STRICT = KeyFreshnessBounds(propagation_limit=2.0, revocation_limit=5.0)
 _TABLE = WorkspaceTable.from_workspaces(
     [Workspace.from_keys("red", ["r1", "r2"], 1), Workspace.from_keys("blue", ["b1"])]
 )
 
 
-def _decide(needs_key: bool, key: str, age: float, bounds: KeyBounds) -> object:
+def _decide(
+    needs_key: bool, key: str, age: float, bounds: KeyFreshnessBounds
+) -> object:
     outcome = admit(_TABLE, needs_key, key, age, bounds)
     return outcome.code if isinstance(outcome, NotRun) else outcome.workspace
 
@@ -123,7 +125,7 @@
     None, as in the records of writers that knew of no workspaces.
     """
     job = make_job()
-    opened = make_opened(job.__class__(**{**vars(job), "workspace": workspace}))
+    opened = make_job_opened(job.__class__(**{**vars(job), "workspace": workspace}))
     assert decode_job_record(encode_job_record(opened)) == opened
 
 
@@ -143,5 +145,5 @@
     Its own workspace; anybody if it has none, or if there are none any more.
     """
     job = make_job()
-    opened = make_opened(job.__class__(**{**vars(job), "workspace": owner}))
+    opened = make_job_opened(job.__class__(**{**vars(job), "workspace": owner}))
     assert opened.may_be_seen_by(caller) is seen
--- a/tests/beds.py
+++ b/tests/testbed_helpers.py
@@ -17,10 +17,10 @@
 __all__ = [
     "QUICK",
     "BackgroundTrainer",
-    "assert_step_is_right",
+    "assert_step_correct",
     "find_collector",
     "make_plan",
-    "share_answered",
+    "answered_share",
 ]
 
 
@@ -60,7 +60,7 @@
         return self.result
 
 
-def assert_step_is_right(result: dict) -> None:
+def assert_step_correct(result: dict) -> None:
     assert result["samples_delivered"] == result["samples_expected"]
     for harm in ("duplicated", "mislabelled", "stale", "wrong"):
         assert result[f"samples_{harm}"] == 0, result
@@ -73,7 +73,7 @@
     return None
 
 
-def share_answered(bed: Testbed, count: int = 24) -> float:
+def answered_share(bed: Testbed, count: int = 24) -> float:
     """
     Return the share of repeatable look-ups that are answered, over all running VMs.
     """
