--- a/packages/saddledoor/src/saddledoor/_burn.py
+++ b/packages/saddledoor/src/saddledoor/_burn.py
@@ -19,7 +19,14 @@
 from ._records import BurnTotals
 
 
-__all__ = ["BurnMeter", "BurnRow", "Hole", "Observation", "burn_rows", "find_holes"]
+__all__ = [
+    "BurnMeter",
+    "BurnRow",
+    "CountingGap",
+    "Observation",
+    "burn_rows",
+    "find_counting_gaps",
+]
 
 #: Number of missed records after which a process is reported as a gap.
 _MAX_MISSED_RECORDS = 2.5
@@ -64,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class Hole:
+class CountingGap:
     """
     A period in which the events of a process were not recorded.
 
@@ -129,7 +136,9 @@
     return rows
 
 
-def find_holes(records: Iterable[tuple[float, BurnTotals]], now: float) -> list[Hole]:
+def find_counting_gaps(
+    records: Iterable[tuple[float, BurnTotals]], now: float
+) -> list[CountingGap]:
     """
     Return the processes that stopped writing records without a final one.
     """
@@ -137,7 +146,7 @@
     for at, record in records:
         newest[record.incarnation] = (at, record)
     return [
-        Hole(record.data_centre, record.incarnation, at)
+        CountingGap(record.data_centre, record.incarnation, at)
         for at, record in newest.values()
         if not record.final and now - at > _MAX_MISSED_RECORDS * record.every
     ]
--- a/packages/saddledoor/src/saddledoor/_claims.py
+++ b/packages/saddledoor/src/saddledoor/_claims.py
@@ -146,7 +146,7 @@
             self._keys.popitem(last=False)
         return key
 
-    def take(self, key: str, partner: str) -> bool:
+    def consume(self, key: str, partner: str) -> bool:
         """
         Mark a key as used.
 
@@ -158,7 +158,7 @@
         issued_key.used = True
         return True
 
-    def give_back(self, key: str) -> None:
+    def restore(self, key: str) -> None:
         """
         Make a used key usable again, if its request was not handed to a service.
         """
@@ -166,7 +166,7 @@
             self._keys[key].used = False
 
     @staticmethod
-    def decider(key: str) -> str | None:
+    def issuer(key: str) -> str | None:
         """
         Return the incarnation that issued a key, or None for a caller's own key.
         """
--- a/packages/saddledoor/src/saddledoor/_config_fold.py
+++ b/packages/saddledoor/src/saddledoor/_config_fold.py
@@ -17,7 +17,7 @@
 )
 
 
-__all__ = ["NO_BASE", "Accepted", "ConfigFold", "InForce", "PublishResult"]
+__all__ = ["NO_BASE", "AcceptedConfig", "ConfigFold", "ActiveConfig", "PublishResult"]
 
 #: Base of a proposal that expects that no configuration has been accepted yet.
 NO_BASE = -1
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Accepted:
+class AcceptedConfig:
     """
     An accepted configuration.
 
@@ -196,7 +196,7 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class ActiveConfig:
     """
     The configuration that a node uses; its offset never decreases.
 
@@ -206,7 +206,7 @@
     :param unusable: Newest accepted offset that this release cannot use; -1 for none.
     """
 
-    accepted: Accepted | None = None
+    accepted: AcceptedConfig | None = None
     unusable: int = NO_BASE
 
     @property
@@ -216,7 +216,9 @@
         """
         return self.accepted.offset if self.accepted else NO_BASE
 
-    def offer(self, accepted: Accepted | None, usable: bool = True) -> InForce:
+    def offer(
+        self, accepted: AcceptedConfig | None, usable: bool = True
+    ) -> ActiveConfig:
         """
         Activate a newer accepted configuration; an older or equal one has no effect.
 
@@ -226,4 +228,4 @@
             return self
         if not usable:
             return replace(self, unusable=accepted.offset)
-        return InForce(accepted)
+        return ActiveConfig(accepted)
--- a/packages/saddledoor/src/saddledoor/_deployment.py
+++ b/packages/saddledoor/src/saddledoor/_deployment.py
@@ -270,14 +270,14 @@
     try:
         return _ADAPTER.validate_json(_PLAIN_ADAPTER.dump_json(document))
     except ValidationError as error:
-        raise InvalidDocumentError(name, problems_of(error)) from None
+        raise InvalidDocumentError(name, validation_problems(error)) from None
 
 
 # JSON validation accepts lists as tuples, and applies strict rules to YAML scalars.
 _PLAIN_ADAPTER = TypeAdapter(object)
 
 
-def problems_of(error: ValidationError) -> tuple[Problem, ...]:
+def validation_problems(error: ValidationError) -> tuple[Problem, ...]:
     """
     Convert a validation error of pydantic into problems.
     """
@@ -314,7 +314,7 @@
     try:
         return _ADAPTER.validate_json(data)
     except ValidationError as error:
-        raise InvalidDocumentError("record", problems_of(error)) from None
+        raise InvalidDocumentError("record", validation_problems(error)) from None
 
 
 def deployment_schema() -> dict[str, object]:
--- a/packages/saddledoor/src/saddledoor/_job_records.py
+++ b/packages/saddledoor/src/saddledoor/_job_records.py
@@ -9,10 +9,10 @@
 import msgpack
 
 from ._jobs import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     JobEnded,
     JobItem,
     JobOpened,
@@ -55,7 +55,7 @@
         case ItemFailed():
             fields = [record.item_id, record.failure_id, record.scoring]
             return msgpack.packb(["f", record.job_id, *fields])
-        case ItemKept():
+        case ItemCheckpoint():
             fields = [record.item_id, record.first, record.count, record.follows]
             provenance = [record.chain, list(record.versions)]
             location = _encode_location(record.text)
--- a/packages/saddledoor/src/saddledoor/_labels.py
+++ b/packages/saddledoor/src/saddledoor/_labels.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["VersionRun", "append_part", "is_fresh", "is_wholly_labelled"]
+__all__ = ["VersionRun", "append_part", "is_fresh", "is_fully_labelled"]
 
 
 @dataclass(frozen=True)
@@ -49,7 +49,7 @@
     return (*runs, VersionRun(version, first, last))
 
 
-def is_wholly_labelled(runs: Iterable[VersionRun], tokens: int) -> bool:
+def is_fully_labelled(runs: Iterable[VersionRun], tokens: int) -> bool:
     """
     Tell whether the runs cover exactly ``tokens`` tokens.
     """
--- a/packages/saddledoor/src/saddledoor/_leases.py
+++ b/packages/saddledoor/src/saddledoor/_leases.py
@@ -36,7 +36,7 @@
     name: str
     holder: str
     fence: int
-    last: int
+    last_offset: int
     released: bool = False
     claim_id: str = ""
 
@@ -102,7 +102,7 @@
 ) -> Lease | None:
     if lease is None or lease.released or lease.fence != record.fence:
         return None
-    return replace(lease, last=offset)
+    return replace(lease, last_offset=offset)
 
 
 def _apply_release(lease: Lease | None, record: LeaseRelease) -> Lease | None:
@@ -134,7 +134,7 @@
             self._seen_offset = last
             self._seen_at = now
 
-    def may_take(self, lease: Lease | None, now: float) -> bool:
+    def may_claim(self, lease: Lease | None, now: float) -> bool:
         """
         Tell whether a claim may be appended now.
         """
--- a/packages/saddledoor/src/saddledoor/_members.py
+++ b/packages/saddledoor/src/saddledoor/_members.py
@@ -63,7 +63,7 @@
     grpc_outside: str = ""
 
     @property
-    def urgent(self) -> tuple[object, ...]:
+    def urgent_state(self) -> tuple[object, ...]:
         """
         Fields whose change is announced to peers at once, which excludes loads.
         """
--- a/packages/saddledoor/src/saddledoor/_records.py
+++ b/packages/saddledoor/src/saddledoor/_records.py
@@ -23,7 +23,7 @@
     "ConfigProposal",
     "ConfigSnapshot",
     "ConfigVerdict",
-    "EngineEnded",
+    "EngineCrashed",
     "KeyClaim",
     "LeaseClaim",
     "LeaseRelease",
@@ -196,7 +196,7 @@
 
 
 @dataclass(frozen=True)
-class EngineEnded:
+class EngineCrashed:
     """
     An engine's process crashed while it ran requests.
 
@@ -266,7 +266,7 @@
     | LeaseRelease
     | ClaimBatch
     | ClaimRelease
-    | EngineEnded
+    | EngineCrashed
     | RequestsCleared
     | UsageCounted
     | UsageDecided
--- a/packages/saddledoor/src/saddledoor/_replay.py
+++ b/packages/saddledoor/src/saddledoor/_replay.py
@@ -23,14 +23,14 @@
     staleness,
     whole_answer,
 )
-from ._trace import Traced
+from ._trace import TracedEvent
 
 
-__all__ = ["CHECKS", "Broken", "Outcomes", "replay"]
+__all__ = ["CHECKS", "Violation", "ExpectedOutcomes", "replay"]
 
 
 @dataclass(frozen=True)
-class Broken:
+class Violation:
     """
     The first violation of a promise in a trace.
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Outcomes:
+class ExpectedOutcomes:
     """
     Expected outcomes of a trace.
 
@@ -57,7 +57,9 @@
     counts: dict[str, int]
 
 
-def replay(events: Iterable[Traced], outcomes: Outcomes) -> Broken | None:
+def replay(
+    events: Iterable[TracedEvent], outcomes: ExpectedOutcomes
+) -> Violation | None:
     """
     Check a trace against its expected outcomes.
 
@@ -71,11 +73,11 @@
         for name, check in checks.items():
             reason = check.on_event(traced)
             if reason is not None:
-                return Broken(name, index, f"{traced.node}: {reason}")
+                return Violation(name, index, f"{traced.node}: {reason}")
     for name, check in checks.items():
         reason = check.at_end()
         if reason is not None:
-            return Broken(name, index + 1, reason)
+            return Violation(name, index + 1, reason)
     for kind, count in outcomes.counts.items():
         if counts[kind] != count:
             reason = f"{counts[kind]} events of kind {kind}, expected {count}"
--- a/packages/saddledoor/src/saddledoor/_replay_decided.py
+++ b/packages/saddledoor/src/saddledoor/_replay_decided.py
@@ -9,23 +9,23 @@
 from collections import Counter
 
 from ._claims import ClaimFold
-from ._config_fold import Accepted, ConfigFold, InForce
-from ._delivery import FetchRequest, Resync, Sample, SampleSpec, Slot, StepBook
+from ._config_fold import AcceptedConfig, ActiveConfig, ConfigFold
+from ._delivery import FetchRequest, Resync, Sample, SampleSpec, Slot, StepDelivery
 from ._replay_check import Check, as_record, as_runs
 from ._trace import (
+    CallRan,
     ClaimDecided,
-    Fetched,
-    Folded,
+    ConfigActivated,
+    ConfigReceived,
+    FetchAnswered,
     HandedOver,
-    HeardConfig,
-    Kept,
-    NodeBegan,
-    PutInForce,
-    Ran,
+    NodeStarted,
+    RecordFolded,
     SampleAdded,
+    SampleKept,
     StaleDropped,
     StepOpened,
-    Traced,
+    TracedEvent,
 )
 
 
@@ -43,12 +43,12 @@
     exclusive_keys: dict[str, str] = {}
     runs: Counter[str] = Counter()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case NodeBegan():
+            case NodeStarted():
                 for key in [k for k in folds if k[0] == traced.node]:
                     del folds[key]
-            case Folded(stream=stream) as event if stream.startswith("claims-"):
+            case RecordFolded(stream=stream) as event if stream.startswith("claims-"):
                 key = (traced.node, stream)
                 fold = folds.setdefault(key, ClaimFold(_RETENTION, event.first))
                 fold.apply(event.offset, event.at, as_record(event.data))
@@ -77,7 +77,7 @@
     received_slots: set[tuple] = set()
     requested_slots: set[tuple] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         event = traced.event
         match event:
             case NodeBegan():
@@ -120,7 +120,7 @@
 def _open_delivery(event: StepOpened, before: StepBook | None) -> StepBook:
     specs = [SampleSpec(Slot(*slot), "", 0) for slot in event.slots]
     received = [Slot(*slot) for slot in event.received]
-    return StepBook.open(event.fence, event.bound, specs, received, before=before)
+    return StepDelivery.open(event.fence, event.bound, specs, received, before=before)
 
 
 def _check_fetch(event: Fetched, delivery: StepBook | None) -> str | None:
@@ -147,10 +147,10 @@
     activated: dict[str, int] = {}
     accepted_offsets: set[int] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         node, event = traced.node, traced.event
         match event:
-            case NodeBegan():
+            case NodeStarted():
                 folds.pop(node, None)
                 active_configs[node] = InForce()
                 activated[node] = _MISSING
--- a/packages/saddledoor/src/saddledoor/_replay_observed.py
+++ b/packages/saddledoor/src/saddledoor/_replay_observed.py
@@ -6,20 +6,20 @@
 
 from __future__ import annotations
 
-from ._labels import VersionRun, append_part, is_fresh, is_wholly_labelled
+from ._labels import VersionRun, append_part, is_fresh, is_fully_labelled
 from ._replay_check import Check, as_runs
 from ._trace import (
-    Ended,
-    Granted,
-    Kept,
-    NodeBegan,
-    Ran,
+    AnswerStreamed,
+    CallEnded,
+    CallRan,
+    LeavingSeen,
+    NodeStarted,
     RequestIn,
     RequestOut,
-    SawLeaving,
+    SampleKept,
+    SlotGranted,
     StageChanged,
-    Streamed,
-    Traced,
+    TracedEvent,
 )
 
 
@@ -41,7 +41,7 @@
     Labels follow from the parts of the stream and match the engine's own tokens.
     """
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
             case Streamed(runs=label) as event if label is not None:
                 runs: tuple[VersionRun, ...] = ()
@@ -65,9 +65,9 @@
     ran: set[str] = set()
     refused: set[str] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Ran(request_id=attempt):
+            case CallRan(request_id=attempt):
                 ran.add(attempt.rpartition(".")[0])
             case Ended(request_id=request, code=code) if 200 <= code < 300:
                 refused.add(request)
@@ -83,9 +83,9 @@
     The oldest run of each kept sample is within the staleness bound.
     """
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Kept() as event:
+            case SampleKept() as event:
                 oldest = min(event.made, default=event.version)
                 fresh = is_fresh(as_runs(event.runs), event.version, event.bound)
                 if not fresh or oldest < event.version - event.bound:
@@ -100,14 +100,14 @@
     An answer that is passed on as complete has the requested length.
     """
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Streamed(runs=runs) as event if runs is not None:
+            case AnswerStreamed(runs=runs) as event if runs is not None:
                 tokens = sum(count for _, count in event.parts)
                 if tokens != event.asked:
                     return f"{event.attempt_id}: {tokens} tokens of {event.asked}"
-            case Kept() as event:
-                whole = is_wholly_labelled(as_runs(event.runs), event.asked)
+            case SampleKept() as event:
+                whole = is_fully_labelled(as_runs(event.runs), event.asked)
                 if len(event.made) != event.asked or not whole:
                     return f"slot {event.slot}: {len(event.made)} of {event.asked}"
         return None
@@ -123,7 +123,7 @@
     known_since: dict[tuple[str, str], float] = {}
     first_known_at: dict[str, float] = {}
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
             case SawLeaving(backend=backend):
                 known_since.setdefault((traced.node, backend), traced.at)
@@ -146,7 +146,7 @@
     in_flight: dict[str, set[int]] = {}
     draining: set[str] = set()
 
-    def on_event(traced: Traced) -> str | None:
+    def on_event(traced: TracedEvent) -> str | None:
         node = traced.node
         match traced.event:
             case NodeBegan():
--- a/packages/saddledoor/src/saddledoor/_trace.py
+++ b/packages/saddledoor/src/saddledoor/_trace.py
@@ -15,26 +15,26 @@
 
 __all__ = [
     "ClaimDecided",
-    "Ended",
+    "CallEnded",
     "Event",
-    "Fetched",
-    "Folded",
-    "Granted",
+    "FetchAnswered",
+    "RecordFolded",
+    "SlotGranted",
     "HandedOver",
-    "HeardConfig",
-    "Kept",
-    "NodeBegan",
-    "PutInForce",
-    "Ran",
+    "ConfigReceived",
+    "SampleKept",
+    "NodeStarted",
+    "ConfigActivated",
+    "CallRan",
     "RequestIn",
     "RequestOut",
     "SampleAdded",
-    "SawLeaving",
+    "LeavingSeen",
     "StageChanged",
     "StaleDropped",
     "StepOpened",
-    "Streamed",
-    "Traced",
+    "AnswerStreamed",
+    "TracedEvent",
 ]
 
 Run = tuple[int, int, int]
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class NodeBegan:
+class NodeStarted:
     """
     A daemon's process started, with empty memory.
     """
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Folded:
+class RecordFolded:
     """
     A node read a record of the log.
 
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class HeardConfig:
+class ConfigReceived:
     """
     A node received an accepted configuration from a peer.
     """
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class PutInForce:
+class ConfigActivated:
     """
     A node activated a configuration.
     """
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class CallEnded:
     """
     A node returned the final outcome of a call.
 
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True)
-class Ran:
+class CallRan:
     """
     A service reports that it ran a call.
     """
@@ -142,7 +142,7 @@
 
 
 @dataclass(frozen=True)
-class Streamed:
+class AnswerStreamed:
     """
     A node assembled a completion from the parts of a stream.
 
@@ -207,7 +207,7 @@
 
 
 @dataclass(frozen=True)
-class Fetched:
+class FetchAnswered:
     """
     A collector answered a fetch.
 
@@ -226,7 +226,7 @@
 
 
 @dataclass(frozen=True)
-class Kept:
+class SampleKept:
     """
     A trainer reports that it kept a sample.
 
@@ -249,7 +249,7 @@
 
 
 @dataclass(frozen=True)
-class SawLeaving:
+class LeavingSeen:
     """
     A node learned that a back end is leaving.
     """
@@ -259,7 +259,7 @@
 
 
 @dataclass(frozen=True)
-class Granted:
+class SlotGranted:
     """
     A node granted a slot of a back end to new work.
     """
@@ -301,22 +301,22 @@
 
 
 Event = (
-    NodeBegan
-    | Folded
-    | HeardConfig
-    | PutInForce
+    NodeStarted
+    | RecordFolded
+    | ConfigReceived
+    | ConfigActivated
     | ClaimDecided
     | HandedOver
-    | Ended
-    | Ran
-    | Streamed
+    | CallEnded
+    | CallRan
+    | AnswerStreamed
     | StepOpened
     | SampleAdded
     | StaleDropped
-    | Fetched
-    | Kept
-    | SawLeaving
-    | Granted
+    | FetchAnswered
+    | SampleKept
+    | LeavingSeen
+    | SlotGranted
     | StageChanged
     | RequestIn
     | RequestOut
@@ -324,7 +324,7 @@
 
 
 @dataclass(frozen=True)
-class Traced:
+class TracedEvent:
     """
     An event with the time and node of its occurrence.
 
--- a/packages/saddledoor/src/saddledoor/_weight_waves.py
+++ b/packages/saddledoor/src/saddledoor/_weight_loads.py
@@ -11,7 +11,12 @@
 from dataclasses import dataclass
 
 
-__all__ = ["ModelWeights", "engines_at_once", "followers", "wanted_loads"]
+__all__ = [
+    "ModelWeights",
+    "max_concurrent_loads",
+    "following_engines",
+    "plan_weight_loads",
+]
 
 #: Share of a model's engines that load a new version. The others keep serving steps
 #: that allow an older version, and load the next one.
@@ -40,14 +45,14 @@
     versions: Mapping[str, int]
 
 
-def engines_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """
     Return how many of a pool's engines may load weights at the same time.
     """
     return max(1, math.floor(engines * _CONCURRENT_LOAD_SHARE))
 
 
-def followers(weights: ModelWeights) -> list[str]:
+def following_engines(weights: ModelWeights) -> list[str]:
     """
     Return the engines that follow a model's versions.
 
@@ -67,7 +72,7 @@
     return sorted(rotated, key=lambda name: -weights.versions[name])[:following_count]
 
 
-def wanted_loads(pool: Sequence[ModelWeights]) -> list[tuple[str, str]]:
+def plan_weight_loads(pool: Sequence[ModelWeights]) -> list[tuple[str, str]]:
     """
     Return the loads that a pool needs, as pairs of engine and model, by priority.
 
@@ -98,7 +103,7 @@
     Engines whose version is too old for the newest job come first. Others follow only
     until half of the engines have the latest version.
     """
-    versions = {name: weights.versions[name] for name in followers(weights)}
+    versions = {name: weights.versions[name] for name in following_engines(weights)}
     behind = sorted(
         (version, name) for name, version in versions.items() if version < weights.named
     )
--- a/tests/proofs/at_most_once.py
+++ b/tests/proofs/at_most_once.py
@@ -112,7 +112,7 @@
 
         @rule()
         def use_issued_key(self):
-            if self.issuer.take(self.issued, "partner"):
+            if self.issuer.consume(self.issued, "partner"):
                 self.issued_runs += 1
 
         @rule()
@@ -120,7 +120,7 @@
             """
             The successor of a VM does not know the keys that the VM issued.
             """
-            if IssuedKeys("successor").take(self.issued, "partner"):
+            if IssuedKeys("successor").consume(self.issued, "partner"):
                 self.issued_runs += 1
 
         def _run(self, entry):
--- a/tests/proofs/configuration.py
+++ b/tests/proofs/configuration.py
@@ -12,7 +12,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from builders import make_proposal
-from saddledoor import Accepted, ConfigFold, ConfigProposal, ConfigVerdict, InForce
+from saddledoor import (
+    AcceptedConfig,
+    ActiveConfig,
+    ConfigFold,
+    ConfigProposal,
+    ConfigVerdict,
+)
 
 from ._proof import Proof
 
--- a/tests/proofs/job_positions.py
+++ b/tests/proofs/job_positions.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     StoredText,
 )
 
--- a/tests/proofs/staleness.py
+++ b/tests/proofs/staleness.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from builders import make_spec
-from saddledoor import Batch, FetchRequest, Sample, Slot, StepBook, VersionRun
+from saddledoor import Batch, FetchRequest, Sample, Slot, StepDelivery, VersionRun
 
 from ._proof import Proof
 
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -12,7 +12,7 @@
     Objective,
     Observation,
     burn_rows,
-    find_holes,
+    find_counting_gaps,
 )
 
 
--- a/tests/test_failures_samples.py
+++ b/tests/test_failures_samples.py
@@ -12,16 +12,16 @@
 import signal
 import time
 
-from beds import (
+from saddledoor_standins.fleet import read_json
+from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
+from testbed_helpers import (
     QUICK,
     BackgroundTrainer,
-    assert_step_is_right,
+    answered_share,
+    assert_step_correct,
     find_collector,
     make_plan,
-    share_answered,
 )
-from saddledoor_standins.fleet import read_json
-from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
 
 
 def test_labels_are_correct_during_faulty_swaps(bed, record_property):
@@ -38,7 +38,7 @@
     time.sleep(0.5)
     bed.start_engine("engine-2", version=1)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
     assert result["samples_of_mixed_versions"] > 0
     until(lambda: bed.engine_versions() == {"engine-1": 2, "engine-2": 2})
 
@@ -58,7 +58,7 @@
         for action in ("stage", "activate"):
             order = {"fence": 0, "action": action, "model": MODEL, "version": 1}
             read_json(f"http://{address}/v1/orders", order)
-        assert_step_is_right(trainer.finish())
+        assert_step_correct(trainer.finish())
         until(lambda: bed.engine_versions()["engine-1"] == 2)
 
 
@@ -74,7 +74,7 @@
     time.sleep(0.5)
     bed.process(victim).signal(signal.SIGKILL)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
     assert result["submits"] > 1
 
 
@@ -91,7 +91,7 @@
     time.sleep(QUICK["lease_term"] * 1.5)
     bed.process(victim).signal(signal.SIGCONT)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
 
 
 def test_a_step_continues_without_the_log(bed, record_property):
@@ -103,10 +103,10 @@
     trainer.start()
     until(lambda: find_collector(bed))
     bed.cut_log()
-    share = share_answered(bed)
+    share = answered_share(bed)
     record_property("repeatable_answered", share)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
     assert share == 1.0
 
 
@@ -121,7 +121,7 @@
     until(lambda: bed.engine_versions().get("engine-1") == 2)
     bed.publish_weights(3)
     result = trainer.finish()
-    assert_step_is_right(result)
+    assert_step_correct(result)
 
 
 def test_a_paused_control_holder_sends_no_order_after_its_lease(record_property):
@@ -162,7 +162,7 @@
     trainer.start()
     until(lambda: bed.engine_versions().get("engine-2") == 2)
     bed.process(holder).signal(signal.SIGKILL)
-    assert_step_is_right(trainer.finish())
+    assert_step_correct(trainer.finish())
     until(lambda: bed.engine_versions() == {"engine-1": 2, "engine-2": 2})
 
 
@@ -181,7 +181,7 @@
     victim = until(running)
     time.sleep(0.4)
     bed.process(victim).signal(signal.SIGKILL)
-    assert_step_is_right(trainer.finish())
+    assert_step_correct(trainer.finish())
 
 
 def test_a_collector_killed_before_an_acknowledgement_duplicates_nothing(
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 from structlog.testing import capture_logs
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     JobOpened,
     LeaseClaim,
     LeaseFold,
@@ -39,7 +39,7 @@
 )
 from saddledoor.exceptions import UndecodableRecordError
 from saddledoord._clock import boot_time
-from saddledoord.cluster.changes import Changes
+from saddledoord.cluster.change_notifier import ChangeNotifier
 from saddledoord.cluster.leases import LeaseLog
 from saddledoord.jobs.item_loader import ItemLoader
 from saddledoord.jobs.service import JobService
@@ -195,7 +195,10 @@
             ItemResult("item-0", True, StoredText((0,), 3), (1,), "mark"),
             ItemResult("item-1", True, StoredText((1,), 4), (1,), "mark"),
         ]
-        records = [_OPENED, *(ItemListed("job-a", result) for result in results)]
+        records = [
+            _OPENED,
+            *(ItemResultRecorded("job-a", result) for result in results),
+        ]
         await log.append("jobs", [encode_job_record(record) for record in records])
         for _ in range(2):
             reading = await jobs.read("job-a", 0, 0.0)
@@ -230,7 +233,7 @@
         until = boot_time() + 0.8
         while boot_time() < until:
             for state in jobs.open_jobs():
-                loader.want(state)
+                loader.request_items(state)
             await asyncio.sleep(0.02)
         (unread, read) = jobs.open_jobs()
         assert (unread.items, len(read.items)) == (None, 1)
@@ -271,7 +274,7 @@
     """
     A job record that is not rejected can be folded, and the job's state stays usable.
     """
-    book = JobBook()
+    book = JobFold()
     for record in _RECORDS[:4]:
         book.apply(record, boot_time())
     try:
