--- a/packages/saddledoor/src/saddledoor/_config_fold.py
+++ b/packages/saddledoor/src/saddledoor/_config_fold.py
@@ -68,23 +68,23 @@
     :param pending: Proposals without a verdict, by offset.
     :param results: Offset and result of the newest publications, by record id.
     :param buffered_records: Offsets and records that await a snapshot.
-    :param first_read: Oldest offset that the log had when the node started.
+    :param first_offset: Oldest offset that the log had when the node started.
     """
 
     next_offset: int = 0
     synced: bool = True
-    accepted: Accepted | None = None
+    accepted: AcceptedConfig | None = None
     pending: dict[int, ConfigProposal] = field(default_factory=dict)
     results: dict[str, tuple[int, PublishResult]] = field(default_factory=dict)
     buffered_records: tuple[tuple[int, Record], ...] = ()
-    first_read: int = 0
+    first_offset: int = 0
 
     @classmethod
     def starting_at(cls, first: int) -> ConfigFold:
         """
         Return the initial state of a node whose log begins at offset ``first``.
         """
-        return cls(next_offset=first, first_read=first, synced=first == 0)
+        return cls(next_offset=first, first_offset=first, synced=first == 0)
 
     def apply(self, offset: int, record: Record) -> ConfigFold:
         """
@@ -100,7 +100,7 @@
         advanced = replace(
             advanced, buffered_records=(*self.buffered_records, (offset, record))
         )
-        if isinstance(record, ConfigSnapshot) and record.folded_to >= self.first_read:
+        if isinstance(record, ConfigSnapshot) and record.folded_to >= self.first_offset:
             return _sync_from_snapshot(advanced, record)
         return advanced
 
@@ -128,7 +128,7 @@
     synced = replace(
         state,
         synced=True,
-        accepted=Accepted(snapshot.offset, snapshot.document),
+        accepted=AcceptedConfig(snapshot.offset, snapshot.document),
         pending={p.offset: p.proposal for p in snapshot.pending},
         buffered_records=(),
     )
@@ -169,7 +169,7 @@
         invalid_result = PublishResult("invalid", verdict.reason)
         decided = replace(state, pending=others)
         return _record_result(decided, verdict.proposal, proposal, invalid_result)
-    accepted = Accepted(verdict.proposal, proposal.document)
+    accepted = AcceptedConfig(verdict.proposal, proposal.document)
     decided = replace(state, accepted=accepted, pending={})
     lost_result = PublishResult("lost", "", verdict.proposal)
     for offset, lost_proposal in others.items():
--- a/packages/saddledoor/src/saddledoor/_job_records.py
+++ b/packages/saddledoor/src/saddledoor/_job_records.py
@@ -47,7 +47,7 @@
             return msgpack.packb(
                 ["o", record.job_id, *fields, *location, *optional_workspace]
             )
-        case ItemListed(result=result):
+        case ItemResultRecorded(result=result):
             fields = [result.item_id, result.done, list(result.versions), result.score]
             return msgpack.packb(
                 ["r", record.job_id, *fields, *_encode_location(result.text)]
@@ -151,7 +151,9 @@
     return None if workspace is None else _require_str(workspace)
 
 
-def _decode_listed(job_id, item_id, done, versions, score, *location) -> ItemListed:
+def _decode_listed(
+    job_id, item_id, done, versions, score, *location
+) -> ItemResultRecorded:
     result = ItemResult(
         _require_str(item_id),
         _require_bool(done),
@@ -159,7 +161,7 @@
         _require_ints(versions),
         _require_str(score),
     )
-    return ItemListed(_require_str(job_id), result)
+    return ItemResultRecorded(_require_str(job_id), result)
 
 
 def _decode_failed(job_id, item_id, failure_id, scoring) -> ItemFailed:
@@ -173,8 +175,8 @@
 
 def _decode_kept(
     job_id, item_id, first, count, follows, chain, versions, *location
-) -> ItemKept:
-    return ItemKept(
+) -> ItemCheckpoint:
+    return ItemCheckpoint(
         _require_str(job_id),
         _require_str(item_id),
         _require_int(first),
--- a/packages/saddledoor/src/saddledoor/_labels.py
+++ b/packages/saddledoor/src/saddledoor/_labels.py
@@ -34,7 +34,7 @@
     """
     Return the runs with one part of an engine's stream appended.
 
-    A part without a version adds nothing, so `is_wholly_labelled` is false for the
+    A part without a version adds nothing, so `is_fully_labelled` is false for the
     answer.
 
     :param version: Version that the engine reported in this part, or None.
--- a/packages/saddledoor/src/saddledoor/_leases.py
+++ b/packages/saddledoor/src/saddledoor/_leases.py
@@ -29,7 +29,7 @@
     State of a lease according to the log.
 
     :param fence: Offset of the holder's claim.
-    :param last: Offset of the newest effective claim or renewal.
+    :param last_offset: Offset of the newest effective claim or renewal.
     :param claim_id: Identifier of the holder's claim.
     """
 
@@ -94,7 +94,7 @@
             return None
         return claimed
     # The claim is void if the claimant had not read the newest renewal.
-    return claimed if record.seen == lease.last else None
+    return claimed if record.seen == lease.last_offset else None
 
 
 def _apply_renewal(
@@ -129,9 +129,9 @@
 
         :param now: Monotonic time that includes suspension of the VM, in seconds.
         """
-        last = lease.last if lease else -1
-        if last != self._seen_offset:
-            self._seen_offset = last
+        last_offset = lease.last_offset if lease else -1
+        if last_offset != self._seen_offset:
+            self._seen_offset = last_offset
             self._seen_at = now
 
     def may_claim(self, lease: Lease | None, now: float) -> bool:
--- a/packages/saddledoor/src/saddledoor/_replay.py
+++ b/packages/saddledoor/src/saddledoor/_replay.py
@@ -81,7 +81,7 @@
     for kind, count in outcomes.counts.items():
         if counts[kind] != count:
             reason = f"{counts[kind]} events of kind {kind}, expected {count}"
-            return Broken("counts", index + 1, reason)
+            return Violation("counts", index + 1, reason)
     return None
 
 
--- a/packages/saddledoor/src/saddledoor/_replay_decided.py
+++ b/packages/saddledoor/src/saddledoor/_replay_decided.py
@@ -59,7 +59,7 @@
                     return f"key {event.key} is not owned by claim {event.owner}"
             case HandedOver() as event:
                 exclusive_keys[event.request_id] = event.once
-            case Ran() as event:
+            case CallRan() as event:
                 exclusive_key = exclusive_keys.get(event.request_id, "")
                 runs[exclusive_key] += bool(exclusive_key)
                 if runs[exclusive_key] > 1:
@@ -73,14 +73,14 @@
     """
     Collectors answer as the library decides; a trainer receives each slot once.
     """
-    deliveries: dict[tuple[str, str, int], StepBook] = {}
+    deliveries: dict[tuple[str, str, int], StepDelivery] = {}
     received_slots: set[tuple] = set()
     requested_slots: set[tuple] = set()
 
     def on_event(traced: TracedEvent) -> str | None:
         event = traced.event
         match event:
-            case NodeBegan():
+            case NodeStarted():
                 for key in [k for k in deliveries if k[0] == traced.node]:
                     del deliveries[key]
             case StepOpened():
@@ -100,10 +100,10 @@
                 delivery = deliveries.get((traced.node, event.trainer, event.step))
                 if delivery is not None:
                     delivery.drop_stale(event.version)
-            case Fetched():
+            case FetchAnswered():
                 delivery = deliveries.get((traced.node, event.trainer, event.step))
                 return _check_fetch(event, delivery)
-            case Kept():
+            case SampleKept():
                 slot = (event.trainer, event.step, event.slot)
                 if slot in received_slots:
                     return f"slot {event.slot} was delivered twice"
@@ -117,13 +117,13 @@
     return Check(on_event, at_end)
 
 
-def _open_delivery(event: StepOpened, before: StepBook | None) -> StepBook:
+def _open_delivery(event: StepOpened, before: StepDelivery | None) -> StepDelivery:
     specs = [SampleSpec(Slot(*slot), "", 0) for slot in event.slots]
     received = [Slot(*slot) for slot in event.received]
     return StepDelivery.open(event.fence, event.bound, specs, received, before=before)
 
 
-def _check_fetch(event: Fetched, delivery: StepBook | None) -> str | None:
+def _check_fetch(event: FetchAnswered, delivery: StepDelivery | None) -> str | None:
     if delivery is None:
         return "a fetch was answered for a step that is not open"
     request = FetchRequest(event.fence, event.cursor, event.version, event.limit)
@@ -143,7 +143,7 @@
     The active configuration follows from the log or a peer, and never reverts.
     """
     folds: dict[str, ConfigFold] = {}
-    active_configs: dict[str, InForce] = {}
+    active_configs: dict[str, ActiveConfig] = {}
     activated: dict[str, int] = {}
     accepted_offsets: set[int] = set()
 
@@ -152,9 +152,9 @@
         match event:
             case NodeStarted():
                 folds.pop(node, None)
-                active_configs[node] = InForce()
+                active_configs[node] = ActiveConfig()
                 activated[node] = _MISSING
-            case Folded(stream="config"):
+            case RecordFolded(stream="config"):
                 fold = folds.get(node) or ConfigFold.starting_at(event.first)
                 record = as_record(event.data)
                 folds[node] = fold.apply(event.offset, record) if record else fold
@@ -162,11 +162,11 @@
                 if accepted is not None:
                     accepted_offsets.add(accepted.offset)
                     active_configs[node] = active_configs[node].offer(accepted)
-            case HeardConfig():
+            case ConfigReceived():
                 active_configs[node] = active_configs[node].offer(
-                    Accepted(event.offset, "")
+                    AcceptedConfig(event.offset, "")
                 )
-            case PutInForce():
+            case ConfigActivated():
                 if event.offset <= activated[node]:
                     return f"reverted from {activated[node]} to {event.offset}"
                 if active_configs[node].offset != event.offset:
--- a/packages/saddledoor/src/saddledoor/_replay_observed.py
+++ b/packages/saddledoor/src/saddledoor/_replay_observed.py
@@ -43,13 +43,13 @@
 
     def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case Streamed(runs=label) as event if label is not None:
+            case AnswerStreamed(runs=label) as event if label is not None:
                 runs: tuple[VersionRun, ...] = ()
                 for version, tokens in event.parts:
                     runs = append_part(runs, None if version < 0 else version, tokens)
                 if as_runs(label) != runs:
                     return f"label of {event.attempt_id} does not match its parts"
-            case Kept() as event:
+            case SampleKept() as event:
                 versions = [v for v, a, b in event.runs for _ in range(a, b + 1)]
                 if versions != list(event.made):
                     return f"slot {event.slot} has label {event.runs}, which is wrong"
@@ -69,7 +69,7 @@
         match traced.event:
             case CallRan(request_id=attempt):
                 ran.add(attempt.rpartition(".")[0])
-            case Ended(request_id=request, code=code) if 200 <= code < 300:
+            case CallEnded(request_id=request, code=code) if 200 <= code < 300:
                 refused.add(request)
         for request in ran & refused:
             return f"request {request} ran and was refused as not run"
@@ -120,18 +120,18 @@
     A node sends no new work to a back end that it knows to be leaving, and no node
     does so after a short time.
     """
-    known_since: dict[tuple[str, str], float] = {}
-    first_known_at: dict[str, float] = {}
+    marked_at: dict[tuple[str, str], float] = {}
+    first_marked_at: dict[str, float] = {}
 
     def on_event(traced: TracedEvent) -> str | None:
         match traced.event:
-            case SawLeaving(backend=backend):
-                known_since.setdefault((traced.node, backend), traced.at)
-                first_known_at.setdefault(backend, traced.at)
-            case Granted(backend=backend):
-                if (traced.node, backend) in known_since:
+            case LeavingSeen(backend=backend):
+                marked_at.setdefault((traced.node, backend), traced.at)
+                first_marked_at.setdefault(backend, traced.at)
+            case SlotGranted(backend=backend):
+                if (traced.node, backend) in marked_at:
                     return f"sent new work to {backend}, known to be leaving"
-                delay = traced.at - first_known_at.get(backend, traced.at)
+                delay = traced.at - first_marked_at.get(backend, traced.at)
                 if delay > LEAVING_GRACE:
                     return f"sent new work to {backend} {delay:.1f} s after the mark"
         return None
@@ -149,7 +149,7 @@
     def on_event(traced: TracedEvent) -> str | None:
         node = traced.node
         match traced.event:
-            case NodeBegan():
+            case NodeStarted():
                 in_flight[node] = set()
             case RequestIn(number=number):
                 in_flight.setdefault(node, set()).add(number)
--- a/packages/saddledoor/src/saddledoor/_weight_loads.py
+++ b/packages/saddledoor/src/saddledoor/_weight_loads.py
@@ -82,7 +82,9 @@
     """
     pending = {weights.model: _select_engines_to_update(weights) for weights in pool}
     serving_counts = {
-        w.model: sum(w.versions[name] >= w.oldest_allowed for name in followers(w))
+        w.model: sum(
+            w.versions[name] >= w.oldest_allowed for name in following_engines(w)
+        )
         for w in pool
     }
     model_order = [w.model for w in pool]
--- a/tests/proofs/configuration.py
+++ b/tests/proofs/configuration.py
@@ -40,7 +40,7 @@
             self.reference = ConfigFold()
             self.history = {0: None}
             self.nodes = [ConfigFold() for _ in range(_NODES)]
-            self.in_force = [InForce() for _ in range(_NODES)]
+            self.active_configs = [ActiveConfig() for _ in range(_NODES)]
             self.highest_seen = [-1] * _NODES
             self.own_accepted = [-1] * _NODES
 
@@ -107,19 +107,19 @@
             release_takes_it = (offset + node) % 3 != 0
             if isinstance(record, ConfigProposal) and release_takes_it:
                 self.own_accepted[node] = offset
-                self._offer(node, Accepted(offset, record.document))
+                self._offer(node, AcceptedConfig(offset, record.document))
 
         def _offer(self, node, accepted):
-            self.in_force[node] = self.in_force[node].offer(accepted)
+            self.active_configs[node] = self.active_configs[node].offer(accepted)
 
         @rule(node=st.integers(0, _NODES - 1), peer=st.integers(0, _NODES - 1))
         def receive_from_peer(self, node, peer):
-            self._offer(node, self.in_force[peer].accepted)
+            self._offer(node, self.active_configs[peer].accepted)
 
         @rule(node=st.integers(0, _NODES - 1))
         def replace_vm(self, node):
             self.nodes[node] = ConfigFold.starting_at(self.first)
-            self.in_force[node] = InForce()
+            self.active_configs[node] = ActiveConfig()
             self.highest_seen[node] = -1
 
         @invariant()
@@ -134,14 +134,14 @@
         @invariant()
         def only_accepted_is_in_force(self):
             accepted = {v for v in self.history.values() if v is not None}
-            for state in self.in_force:
+            for state in self.active_configs:
                 assert state.offset == -1 or state.offset in accepted, (
                     f"in force: {state.offset}, accepted: {sorted(accepted)}"
                 )
 
         @invariant()
         def never_reverts(self):
-            for node, state in enumerate(self.in_force):
+            for node, state in enumerate(self.active_configs):
                 assert state.offset >= self.highest_seen[node], "went back"
                 self.highest_seen[node] = state.offset
 
--- a/tests/proofs/job_positions.py
+++ b/tests/proofs/job_positions.py
@@ -36,9 +36,9 @@
         @initialize()
         def accept(self):
             self.job = make_job(_ITEMS)
-            self.log = [make_opened(self.job)]
+            self.log = [make_job_opened(self.job)]
             self.delayed = []
-            self.books = [JobBook() for _ in range(_NODES)]
+            self.books = [JobFold() for _ in range(_NODES)]
             self.read_counts = [0] * _NODES
             self.seen_results: dict[int, ItemResult] = {}
 
@@ -51,7 +51,7 @@
         def finish_item(self, node, item, done, append_result):
             text = StoredText((node,), 1) if done else StoredText()
             result = ItemResult(self.job.items[item].item_id, done, text)
-            record = ItemListed(self.job.job_id, result)
+            record = ItemResultRecorded(self.job.job_id, result)
             if append_result == "done":
                 self.log.append(record)
             elif append_result == "late":
@@ -78,7 +78,7 @@
 
         @rule(node=st.integers(0, _NODES - 1))
         def lose_power(self, node):
-            self.books[node] = JobBook()
+            self.books[node] = JobFold()
             self.read_counts[node] = 0
 
         @invariant()
--- a/tests/proofs/leaving.py
+++ b/tests/proofs/leaving.py
@@ -75,7 +75,7 @@
             kind = MemberTable if guard else _LastReceivedTable
             self.tables = [kind(1e9) for _ in range(_NODES)]
             self.knows_leaving = [False] * _NODES
-            self.in_force = [InForce() for _ in range(_NODES)]
+            self.active_configs = [ActiveConfig() for _ in range(_NODES)]
             self.marked_offset = None
             self.seq = 0
 
@@ -118,18 +118,18 @@
             Offset 2 marks the engine as leaving; peers may also send offset 1.
             """
             self.marked_offset = 2
-            self.in_force[node] = self.in_force[node].offer(
+            self.active_configs[node] = self.active_configs[node].offer(
                 AcceptedConfig(2, "leaving")
             )
 
         @rule(node=st.integers(0, _NODES - 1))
         def old_configuration_arrives(self, node):
-            self.in_force[node] = self.in_force[node].offer(
+            self.active_configs[node] = self.active_configs[node].offer(
                 AcceptedConfig(1, "serving")
             )
 
         def _grants(self, node):
-            accepted = self.in_force[node].accepted
+            accepted = self.active_configs[node].accepted
             state = accepted.document if accepted else "serving"
             report = self.tables[node].reports().get("engine")
             return is_eligible(state, report, BackendRequirement(), self.now)
@@ -137,7 +137,7 @@
         @invariant()
         def no_new_work_once_heard(self):
             for node in range(_NODES):
-                marked = self.in_force[node].offset == 2
+                marked = self.active_configs[node].offset == 2
                 if self.knows_leaving[node] or marked:
                     assert not self._grants(node), f"node {node} gave it new work"
 
--- a/tests/proofs/staleness.py
+++ b/tests/proofs/staleness.py
@@ -21,7 +21,7 @@
 _SLOTS = 4
 
 
-class _NoStalenessCheck(StepBook):
+class _NoStalenessCheck(StepDelivery):
     def drop_stale(self, version):
         return 0
 
@@ -36,7 +36,7 @@
         def begin(self, bound):
             self.bound = bound
             self.version = 3
-            kind = StepBook if guard else _NoStalenessCheck
+            kind = StepDelivery if guard else _NoStalenessCheck
             specs = [make_spec(group) for group in range(_SLOTS)]
             self.book = kind.open(1, bound, specs)
             self.cursor = 0
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -86,7 +86,7 @@
         (10.0, _totals(1, 1, "stopped", final=True)),
         (95.0, _totals(1, 1, "alive")),
     ]
-    gaps = find_holes(records, 100.0)
+    gaps = find_counting_gaps(records, 100.0)
     assert [gap.incarnation for gap in gaps] == ["killed"]
 
 
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -46,13 +46,13 @@
 from saddledoord.jobs.texts import TextStore
 
 
-_OPENED = make_opened(make_job(2))
+_OPENED = make_job_opened(make_job(2))
 _STORED = StoredText((0,), 4)
 _RECORDS = (
     _OPENED,
-    ItemListed("job-a", ItemResult("item-0", True, _STORED, (1, 2), "mark")),
+    ItemResultRecorded("job-a", ItemResult("item-0", True, _STORED, (1, 2), "mark")),
     ItemFailed("job-a", "item-1", "f-1", True),
-    ItemKept("job-a", "item-1", 1, 2, "", "c-1", (1,), _STORED),
+    ItemCheckpoint("job-a", "item-1", 1, 2, "", "c-1", (1,), _STORED),
     JobEnded("job-a"),
 )
 #: Job records with fields of the wrong type, or with missing fields.
@@ -105,7 +105,9 @@
 
 def _jobs(log: FakeLog) -> JobService:
     texts = TextStore(log, 1000, 4000)
-    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _never, _never)
+    return JobService(
+        log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _never, _never
+    )
 
 
 async def _run_while_checking(
@@ -226,7 +228,7 @@
     async def check():
         items = encode_job_items(good.items)
         (_, stored) = await texts.write([b"\xff" * 4, items], boot_time() + 1.0)
-        bad = make_opened(make_job(2), 0)
+        bad = make_job_opened(make_job(2), 0)
         records = [bad, JobOpened.of(good, stored)]
         await log.append("jobs", [encode_job_record(record) for record in records])
         assert await jobs.sync()
