--- a/packages/saddledoord/src/saddledoord/jobs/__init__.py
+++ b/packages/saddledoord/src/saddledoord/jobs/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Batch jobs that last in the log.
+Batch jobs, whose state is stored in the shared log.
 """
--- a/packages/saddledoord/src/saddledoord/jobs/appending.py
+++ b/packages/saddledoord/src/saddledoord/jobs/appending.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Appends that are made again until the log has acknowledged them.
+Appends records to the log, with retries until the log acknowledges them.
 """
 
 from __future__ import annotations
@@ -20,11 +20,10 @@
 
 _log = structlog.get_logger()
 
-#: First and longest wait for an answer, in seconds, doubled each time. An answer may be
-#: lost; a store that is slowed down 60 times takes 0.24 s.
+#: Initial and longest timeout of an append, in seconds; doubled at each retry.
 _PATIENCE = 0.5
 _PATIENCE_MOST = 4.0
-#: Pause after an append that was not done for sure, in seconds.
+#: Pause after an append without acknowledgement, in seconds.
 _PAUSE = 0.1
 
 
@@ -32,11 +31,12 @@
     log: SharedLog, stream: str, records: Sequence[bytes], deadline: float = math.inf
 ) -> Appended:
     """
-    Append records that may stand in the log more than once.
+    Append records until the log acknowledges them; it may then hold several copies.
 
-    :param deadline: When no further try begins, monotonic, in seconds.
-    :returns: Where one acknowledged copy of them stands.
-    :raises StoreAwayError: If there is none by then; they may stand there all the same.
+    :param deadline: Time after which no retry starts, monotonic, in seconds.
+    :returns: The position of the acknowledged copy.
+    :raises StoreAwayError: If none is acknowledged by the deadline; the log may
+        still hold the records.
     """
     patience = _PATIENCE
     outcome = await log.append(stream, records, patience)
--- a/packages/saddledoord/src/saddledoord/jobs/attempt.py
+++ b/packages/saddledoord/src/saddledoord/jobs/attempt.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-One attempt at an item: an engine's stream, watched for silence and slowness.
+Runs a job item at one engine, and ends the run if the engine is silent or slow.
 """
 
 from __future__ import annotations
@@ -22,34 +22,30 @@
 
 __all__ = ["Attempts"]
 
-#: Silence after which a stream counts as broken, in seconds: twice what a change of
-#: weights takes (0.9 s).
+#: Silence after which a stream counts as broken, in seconds; longer than a load of
+#: weights.
 _SILENCE = 2.0
-#: Least silence of a whole engine after which its items move to one that has room, in
-#: seconds, and before it has made an event at all.
+#: Shortest silence of an engine on all its streams after which its items move to
+#: another engine, in seconds: between events, and before its first event.
 _STALL = 0.25
 _STALL_FIRST = 0.5
-#: The same in gaps between its events, a count.
+#: The same limit as a multiple of the engine's mean gap between events.
 _STALL_GAPS = 6.0
-#: Silence after which a stream counts as paused in the item's times, in seconds: four
-#: times what an event takes at a slow engine (0.15 s).
+#: Silence after which `ItemTimes` counts a stream as paused, in seconds.
 _PAUSE = 0.5
-#: How often a silent stream is looked at, in seconds.
-_LOOK = 0.05
-#: Events that an item stays for before it may move, a count: a move costs the reading
-#: of its prompt again, some 10 ms.
-_STAY = 5
-#: And the least time that it stays, in seconds: what is left of a short text is not
-#: worth a move, and a mean of a few gaps says little.
-_STAY_TIME = 0.25
+#: Interval between checks of a silent stream, in seconds.
+_CHECK_INTERVAL = 0.05
+#: Events between two checks whether the item should move to a faster engine.
+_PACE_CHECK_EVENTS = 5
+#: Shortest time at an engine before an item may move to a faster one, in seconds; a
+#: short text is not worth the repeated prefill.
+_MIN_STAY_TIME = 0.25
 #: Urgency of items; the platform's default is 5.
 _URGENCY = 5
-#: Outcomes by which the engine shows that it has run the item and lives.
+#: Outcomes which show that the engine has run the item and has not crashed.
 _ANSWERED = frozenset({GenerationFailedError.FAILED, GenerationFailedError.IMPOSSIBLE})
-#: Outcomes by which the engine, or the one that has its address, vouches that it has
-#: not run the item, or by which nothing was sent. An item that could not connect to
-#: two engines which were down was blamed for their ends, and after one end more it was
-#: kept from all engines for 240 s.
+#: Outcomes which show that the engine has not run the item, so the item cannot have
+#: caused a crash of it.
 _NOT_RUN = frozenset(
     {
         GenerationFailedError.NOT_STARTED,
@@ -61,7 +57,7 @@
 
 class Attempts:
     """
-    Runs items at engines.
+    Runs job items at engines, one call for each attempt.
     """
 
     def __init__(
@@ -80,20 +76,20 @@
 
     async def run(self, run: ItemRun, route: GatewayRoute, engine: EngineEntry) -> None:
         """
-        Bring an item's text to its end at one engine.
+        Generate the rest of an item's text at one engine.
 
-        :raises GenerationFailedError: If the text is not whole after this.
+        :raises GenerationFailedError: If the text is still incomplete.
         """
         try:
             with self._ends.running(engine.incarnation, run.key) as at_engine:
                 async with self._lives.within(engine.incarnation):
-                    await self._take_watched(run, route, engine, at_engine)
+                    await self._run_tracked(run, route, engine, at_engine)
         except TimeoutError:
             raise GenerationFailedError(
-                GenerationFailedError.RESTARTED, "the engine has started again"
+                GenerationFailedError.RESTARTED, "the engine has restarted"
             ) from None
 
-    async def _take_watched(
+    async def _run_tracked(
         self,
         run: ItemRun,
         route: GatewayRoute,
@@ -101,10 +97,10 @@
         at_engine: RunAtEngine,
     ) -> None:
         """
-        Take the events, and note what the end of the run says of the engine.
+        Receive the events, and report to the crash tracking how the run ended.
         """
         try:
-            await self._take_events(run, route, engine)
+            await self._receive_events(run, route, engine)
         except GenerationFailedError as error:
             if error.outcome == GenerationFailedError.BROKEN:
                 at_engine.broke_off(engine)
@@ -115,50 +111,50 @@
             raise
         at_engine.survived()
 
-    async def _take_events(
+    async def _receive_events(
         self, run: ItemRun, route: GatewayRoute, engine: EngineEntry
     ) -> None:
         generation = Generation(run.request, run.text.last, _URGENCY)
         stream = self._engines.generate(engine, generation)
-        began, began_at = run.text.last, boot_time()
+        resumed_after, began_at = run.text.last, boot_time()
         last: float | None = None
         try:
             while True:
-                event = await self._next(stream, run, engine)
+                event = await self._next_event(stream, run, engine)
                 if event is None:
                     return
                 now = boot_time()
                 if last is None:
-                    self._placement.started(engine, run.state.job.model)
+                    self._placement.note_started(engine, run.state.job.model)
                 run.times.enter(ItemPhase.EVENTS, now)
                 self._paces.observe(engine.incarnation, last and now - last, now)
                 last = now
-                self._take(run, route, engine, event)
-                stayed = run.text.last - began
-                if stayed % _STAY == 0 and now - began_at >= _STAY_TIME:
+                self._add_event(run, route, engine, event)
+                made = run.text.last - resumed_after
+                if made % _PACE_CHECK_EVENTS == 0 and now - began_at >= _MIN_STAY_TIME:
                     self._check_pace(run, engine)
         finally:
-            # Closes the connection, so the engine stops at once.
+            # Closes the connection, which stops the generation at the engine.
             await stream.aclose()
 
-    async def _next(
+    async def _next_event(
         self, stream, run: ItemRun, engine: EngineEntry
     ) -> GeneratedEvent | None:
         began = boot_time()
-        coming = asyncio.ensure_future(anext(stream, None))
+        pending = asyncio.ensure_future(anext(stream, None))
         try:
             while True:
-                await asyncio.wait({coming}, timeout=_LOOK)
-                if coming.done():
-                    return coming.result()
+                await asyncio.wait({pending}, timeout=_CHECK_INTERVAL)
+                if pending.done():
+                    return pending.result()
                 silent = boot_time() - began
                 if silent > _PAUSE and run.times.phase is ItemPhase.EVENTS:
                     run.times.enter(ItemPhase.PAUSE, began + _PAUSE)
                 self._check_silence(run, engine, silent)
         finally:
-            if not coming.done():
-                coming.cancel()
-                await asyncio.wait({coming})
+            if not pending.done():
+                pending.cancel()
+                await asyncio.wait({pending})
 
     def _check_silence(self, run: ItemRun, engine: EngineEntry, silent: float) -> None:
         if silent > _SILENCE:
@@ -167,31 +163,31 @@
         silent = min(silent, self._paces.silent_for(engine.incarnation, now))
         if silent <= self._stall(run, engine, now):
             return
-        if self._placement.elsewhere(run, engine):
+        if self._placement.find_alternative(run, engine):
             run.stalls += 1
             raise GenerationFailedError(GenerationFailedError.STALLED, "engine silent")
 
     def _stall(self, run: ItemRun, engine: EngineEntry, now: float) -> float:
         """
-        How long an engine may be silent before an item moves, in seconds.
+        Return how long an engine may be silent before an item moves, in seconds.
 
-        Doubled with each move, so that an item comes to its end at engines that are
-        slower than this expects.
+        The limit doubles with each move, so that an item completes even if all
+        engines are slower than expected.
         """
         gap = self._paces.gap(engine.incarnation, now)
         least = _STALL_FIRST if gap is None else max(_STALL, _STALL_GAPS * gap)
         return least * 2**run.stalls
 
     def _check_pace(self, run: ItemRun, engine: EngineEntry) -> None:
-        self._placement.weigh(run)
-        other = self._placement.faster(run, engine)
+        self._placement.update_is_long(run)
+        other = self._placement.find_faster(run, engine)
         if other is not None:
             run.pace_moves += 1
             raise GenerationFailedError(
                 GenerationFailedError.SLOW, f"{other.engine_id} is faster"
             )
 
-    def _take(
+    def _add_event(
         self,
         run: ItemRun,
         route: GatewayRoute,
@@ -203,14 +199,14 @@
             self._placement.saw(engine, job.model, event.version)
         mixed = run.text.versions and event.version not in run.text.versions
         if route.single_version and mixed:
-            run.start_over()
+            run.discard_text()
             raise GenerationFailedError(
                 GenerationFailedError.NOT_STARTED, "weights changed within the text"
             )
         if not run.text.take(event, job.oldest_version):
-            run.unfit.add(engine.incarnation)
+            run.ineligible.add(engine.incarnation)
             raise GenerationFailedError(
                 GenerationFailedError.NOT_STARTED,
-                f"event {event.number} of version {event.version} after"
-                f" {run.text.last} does not fit {job.oldest_version}",
+                f"event {event.number} of version {event.version} does not follow"
+                f" event {run.text.last} or is older than {job.oldest_version}",
             )
--- a/packages/saddledoord/src/saddledoord/jobs/item_loader.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_loader.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Reads the items of the jobs that this node runs.
+Reads the items of the jobs that this node runs from the log, in the background.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 
 #: Pause after a read that failed, in seconds.
 _PAUSE = 0.1
-#: Longest pause after reads that brought unusable bytes, in seconds, doubled each time:
-#: all later reads will bring the same, unless the fault was on the way.
+#: Longest pause after a read of undecodable items, in seconds; doubled at each retry.
+#: A retry helps only if the bytes were damaged in transit.
 _PAUSE_MOST = 10.0
 
 
 class ItemLoader:
     """
-    One read for each job at a time.
+    Loads the items of jobs, with one read for each job at a time.
 
-    :param tried: Called after each read, whether it brought the items or not.
+    :param tried: Called when the read of a job has ended, successful or not.
     """
 
     @property
     def unreadable(self) -> int:
         """
-        Jobs whose items could not be read so far, a count.
+        Number of jobs whose items could not be decoded.
         """
         return self._unreadable
 
@@ -51,7 +51,7 @@
 
     def want(self, state: JobState) -> None:
         """
-        Have a job's items read unless they are known or being read.
+        Start to read a job's items unless they are known or being read.
         """
         job_id = state.job.job_id
         if state.items is not None or job_id in self._reads:
--- a/packages/saddledoord/src/saddledoord/jobs/item_run.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_run.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a node holds of an item that it runs.
+The state of a job item that this node runs.
 """
 
 from __future__ import annotations
@@ -37,74 +37,74 @@
 @dataclass(eq=False)
 class ItemRun:
     """
-    An item's text so far and the task that works on it.
+    A job item's text so far, and the task that generates it.
 
-    :param text: Without the kept events until they are loaded.
-    :param task: None while no engine works on it.
-    :param listing: Whether its result is on its way into the log.
-    :param written: Whether the log holds its result.
+    :param text: Events received so far; those in the log are missing until `load`.
+    :param task: The current attempt; None while no engine runs the item.
+    :param result_queued: Whether its result is queued for the log.
+    :param result_logged: Whether the log holds its result.
     :param is_long: Whether its text is expected to be among the step's longest.
-    :param failures: Failed runs, a count; the log's own lags behind this node's.
-    :param kept: Events that were given to the log, a count.
-    :param kept_chain: The chain that the last of them belongs to.
-    :param writing: Whether events given to the log are still on their way.
-    :param loaded: Whether what others made of the text has been read.
-    :param stalls: Moves away from silent engines, a count.
-    :param pace_moves: Moves to faster engines, a count.
-    :param barred: Whether engines are kept from it, which ended under it.
-    :param unfit: Engines that cannot run it now.
-    :param engines: Where it was sent, by id, in order.
-    :param times: Where its time has gone.
+    :param failures: Number of failed runs; ahead of the number in the log.
+    :param persisted: Number of events handed to the record writer.
+    :param persisted_chain: The chain of the last of them.
+    :param persisting: Whether the append of these events is in flight.
+    :param loaded: Whether the events in the log have been read.
+    :param stalls: Number of moves away from silent engines.
+    :param pace_moves: Number of moves to faster engines.
+    :param quarantine_logged: Whether its quarantine has been logged.
+    :param ineligible: Engines that are not eligible for the item at present.
+    :param engines: Ids of the engines that it was sent to, in order.
+    :param times: Seconds spent in each phase.
     """
 
     state: JobState
     item: JobItem
     text: EventText
     task: asyncio.Task | None = None
-    listing: bool = False
-    written: bool = False
+    result_queued: bool = False
+    result_logged: bool = False
     is_long: bool = False
     failures: int = 0
-    kept: int = 0
-    kept_chain: str = ""
-    writing: bool = False
+    persisted: int = 0
+    persisted_chain: str = ""
+    persisting: bool = False
     loaded: bool = False
     stalls: int = 0
     pace_moves: int = 0
-    barred: bool = False
-    unfit: set[Incarnation] = field(default_factory=set)
+    quarantine_logged: bool = False
+    ineligible: set[Incarnation] = field(default_factory=set)
     engines: list[str] = field(default_factory=list)
     times: ItemTimes = field(default_factory=lambda: ItemTimes(boot_time()))
 
     @classmethod
     def begin(cls, state: JobState, item: JobItem) -> ItemRun:
         """
-        Take an item up where the log says that others left it.
+        Create the state of an item, with the number of failed runs in the log.
         """
         failures = state.failures(item.item_id)
         return cls(state, item, EventText(_new_chain()), failures=failures)
 
     async def load(self, texts: TextStore) -> None:
         """
-        Read what others made of the text, so that the next run goes on there.
+        Read the events in the log, so that the next attempt resumes after them.
 
-        :raises StoreAwayError: If it cannot be had now.
-        :raises UndecodableRecordError: If it is not what a node writes.
+        :raises StoreAwayError: If they cannot be read now.
+        :raises UndecodableRecordError: If they cannot be decoded.
         """
         if self.loaded:
             return
-        kept = self.held_by_log
+        kept = self.logged_parts
         data = await texts.read(kept.parts)
         events = tuple(event for part in data for event in decode_events(part))
         self.text = EventText(_new_chain(), KeptText(events, kept.versions, kept.chain))
-        self.kept = kept.count
-        self.kept_chain = kept.chain
+        self.persisted = kept.count
+        self.persisted_chain = kept.chain
         self.loaded = True
 
     @cached_property
     def key(self) -> str:
         """
-        What tells the item from others, in this job or another one.
+        Identifies the item's request across jobs.
         """
         sent = self.request
         return request_key(
@@ -112,23 +112,23 @@
         )
 
     @property
-    def held_by_log(self) -> KeptParts:
+    def logged_parts(self) -> KeptParts:
         """
-        What the log holds of the text, as far as this node has read it.
+        The events of the text in the log, as far as this node has read it.
         """
         return self.state.kept.get(self.item.item_id, KeptParts())
 
     @property
     def is_idle(self) -> bool:
         """
-        Whether it waits for an engine.
+        Whether the item waits for an engine.
         """
-        return self.task is None and not self.listing
+        return self.task is None and not self.result_queued
 
     @property
     def has_events(self) -> bool:
         """
-        Whether the engine that works on it has made events.
+        Whether the current attempt has received an event.
         """
         return self.times.phase in (ItemPhase.EVENTS, ItemPhase.PAUSE)
 
@@ -148,53 +148,53 @@
             workspace=job.workspace,
         )
 
-    def start_over(self) -> None:
+    def discard_text(self) -> None:
         """
-        Drop the text made so far.
+        Discard the text, so that the next attempt starts from the prompt.
         """
         self.text = EventText(_new_chain())
-        self.kept = 0
-        self.kept_chain = ""
+        self.persisted = 0
+        self.persisted_chain = ""
         self.loaded = True
 
     @property
-    def unkept(self) -> int:
+    def unpersisted(self) -> int:
         """
-        Events that the log has not been given, a count.
+        Number of events not yet handed to the record writer.
         """
-        return self.text.last - self.kept
+        return self.text.last - self.persisted
 
     def keep(self, writer: RecordWriter) -> None:
         """
-        Give the log the events that it has not been given.
+        Queue the new events for the log.
 
-        All of them if it holds another run's: that one's last events came between, or
-        two nodes ran the item at once.
+        Queue all events if the log holds those of another run: the previous owner
+        wrote its last events late, or two nodes ran the item at once.
         """
-        if self.unkept <= 0:
+        if self.unpersisted <= 0:
             return
-        held = self.held_by_log
-        given = (self.kept, self.kept_chain)
-        if not self.writing and (held.count, held.chain) != given:
-            self.kept, self.kept_chain = 0, ""
-        part = self.text.since(self.kept)
+        held = self.logged_parts
+        queued = (self.persisted, self.persisted_chain)
+        if not self.persisting and (held.count, held.chain) != queued:
+            self.persisted, self.persisted_chain = 0, ""
+        part = self.text.since(self.persisted)
         record = partial(
             ItemKept,
             self.state.job.job_id,
             self.item.item_id,
-            self.kept + 1,
+            self.persisted + 1,
             len(part.events),
-            self.kept_chain,
+            self.persisted_chain,
             part.chain,
             part.versions,
         )
-        self.writing = True
-        writer.put_with_text(encode_events(part.events), record, self._written)
-        self.kept = self.text.last
-        self.kept_chain = part.chain
+        self.persisting = True
+        writer.put_with_text(encode_events(part.events), record, self._note_persisted)
+        self.persisted = self.text.last
+        self.persisted_chain = part.chain
 
-    def _written(self) -> None:
-        self.writing = False
+    def _note_persisted(self) -> None:
+        self.persisting = False
 
 
 def _new_chain() -> str:
--- a/packages/saddledoord/src/saddledoord/jobs/item_times.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_times.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Where the time of an item goes, phase by phase.
+Measures how long an item spends in each phase.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
     What an item is waiting for.
     """
 
-    #: An engine with room whose weights are new enough.
+    #: An engine with a free slot whose weights are new enough.
     PLACE = "place"
-    #: The first event of an attempt: the engine's queue, its load, the prompt.
+    #: The first event of an attempt, after queueing, a load of weights and prefill.
     FIRST_EVENT = "first_event"
     #: The events of a stream.
     EVENTS = "events"
-    #: The next event of a stream that paused, usually for a load of weights.
+    #: The next event of a paused stream; usually the engine loads weights.
     PAUSE = "pause"
     #: The answer of the scoring call.
     SCORE = "score"
@@ -36,7 +36,7 @@
     """
     Adds up the seconds that an item spends in each phase.
 
-    :param now: When it was taken up, monotonic, in seconds.
+    :param now: Start of the first phase, monotonic, in seconds.
     """
 
     def __init__(self, now: float) -> None:
@@ -47,20 +47,20 @@
     @property
     def phase(self) -> ItemPhase:
         """
-        The phase it is in.
+        The current phase.
         """
         return self._phase
 
     def enter(self, phase: ItemPhase, now: float) -> None:
         """
-        Go from one phase to the next; the same one again goes on.
+        Enter a phase, or stay in it if it is the current one.
         """
         self._seconds[self._phase] += now - self._since
         self._phase, self._since = phase, now
 
     def rounded(self, now: float) -> dict[str, float]:
         """
-        Return the seconds of each phase up to now, for a log line.
+        Return the seconds spent in each phase until now, for a log line.
         """
         self.enter(self._phase, now)
         return {phase: round(self._seconds[phase], 3) for phase in ItemPhase}
--- a/packages/saddledoord/src/saddledoord/jobs/known_ends.py
+++ b/packages/saddledoord/src/saddledoord/jobs/known_ends.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Whether work of a job may still be sent, by what is known of the jobs that have ended.
+Decides whether this node's knowledge of the jobs' log is fresh enough to send work.
 """
 
 from __future__ import annotations
@@ -12,22 +12,21 @@
 
 __all__ = ["KnownEnds", "LogView"]
 
-#: Work is sent only if the log's end was known so lately, as a share of the time after
-#: which none of an ended job may reach an engine.
-_FRESH = 2 / 3
-#: How long items still start while the store cannot be reached, in seconds: nobody
-#: can end a job then, but another node may have taken this one's share.
-_ALONE = 6.0
+#: Freshness limit while the store is reachable, as a share of the cancel time.
+_FRESH_SHARE = 2 / 3
+#: Freshness limit for items while the store is unreachable, in seconds. No job can end
+#: then, but another node may have claimed this node's share.
+_UNREACHABLE_LIMIT = 6.0
 
 
 @dataclass(frozen=True)
 class LogView:
     """
-    What this node has read of the jobs' log; times are monotonic, in seconds.
+    How far this node has read the jobs' log; times are monotonic, in seconds.
 
-    :param confirmed_at: When everything in the log was known.
+    :param confirmed_at: When this node last had read the whole log.
     :param reached: Whether the store answered the last read.
-    :param awake_since: When this process last stood still.
+    :param awake_since: When the process last resumed after a pause.
     """
 
     confirmed_at: float
@@ -37,44 +36,45 @@
 
 class KnownEnds:
     """
-    Tells whether this node would know by now that a job has ended.
+    Tells whether this node would know that a job has ended.
 
-    After a standstill it does not until it has asked: the read that the standstill held
-    up is out of time before its answer is looked at, which seems as if the store were
-    away, and nobody could have ended a job meanwhile. Of a job of 40 items that had
-    ended 3.6 s before, 12 items or 40 scoring calls were sent at that moment.
+    After a process pause it does not before a new read of the log. The read in flight
+    during the pause times out on resume, which looks like an unreachable store although
+    other nodes may have ended jobs.
 
-    :param look: Returns what has been read by now.
-    :param cancel_time: After this long nothing of an ended job may reach an engine, in
-        seconds.
+    :param read_state: Returns how far the log has been read.
+    :param cancel_time: Time after the end of a job from which no work of it may reach
+        an engine, in seconds.
     """
 
-    def __init__(self, look: Callable[[], LogView], cancel_time: float) -> None:
-        self._look = look
+    def __init__(self, read_state: Callable[[], LogView], cancel_time: float) -> None:
+        self._read_state = read_state
         self.set_cancel_time(cancel_time)
 
     def set_cancel_time(self, cancel_time: float) -> None:
         """
-        Change the time after which nothing of an ended job may reach an engine.
+        Change the cancel time, in seconds.
         """
-        self._fresh = _FRESH * cancel_time
+        self._fresh_for = _FRESH_SHARE * cancel_time
 
     def may_start(self, now: float) -> bool:
         """
-        Whether items may start.
+        Whether items may be sent to engines.
         """
-        return self._is_known(now, _ALONE)
+        return self._is_fresh(now, _UNREACHABLE_LIMIT)
 
     def may_score(self, now: float) -> bool:
         """
-        Whether texts may be scored; also long after the store was lost, so that they
-        can be listed as soon as it is back.
+        Whether texts may be scored.
+
+        There is no limit while the store is unreachable, so that results can be listed
+        as soon as it is back.
         """
-        return self._is_known(now, float("inf"))
+        return self._is_fresh(now, float("inf"))
 
-    def _is_known(self, now: float, alone: float) -> bool:
-        view = self._look()
+    def _is_fresh(self, now: float, limit_unreachable: float) -> bool:
+        view = self._read_state()
         if view.confirmed_at < view.awake_since:
             return False
-        limit = self._fresh if view.reached else alone
+        limit = self._fresh_for if view.reached else limit_unreachable
         return now - view.confirmed_at < limit
--- a/packages/saddledoord/src/saddledoord/jobs/placement.py
+++ b/packages/saddledoord/src/saddledoord/jobs/placement.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which engine an item goes to, from what this node has seen of the engines.
+Chooses the engine for a job item by weight version, pace and load.
 """
 
 from __future__ import annotations
@@ -32,17 +32,16 @@
 
 __all__ = ["Placement"]
 
-#: An engine whose streams have all been silent for so long gets no item, in seconds:
-#: three gaps of one that is well. It may be on the way to silence for good, and others
-#: that went silent with it must not send their items there.
-_QUIET = 0.15
-#: Gap between events by which texts are compared while no pace is known, in seconds.
-_USUAL_GAP = 0.04
+#: Silence on all streams of an engine after which it gets no item, in seconds. Engines
+#: often fail together, so it must not get the items of one that has just gone silent.
+_MAX_QUIET = 0.15
+#: Gap between events that is assumed while no pace is known, in seconds.
+_DEFAULT_GAP = 0.04
 
 
 class Placement:
     """
-    Chooses among the engines that may run an item, by their weights and their pace.
+    Chooses engines for items, and counts the items that run at each engine.
     """
 
     def __init__(
@@ -60,122 +59,121 @@
         self._lengths: dict[str, TextLengths] = {}
         self._running: EngineTable[set[ItemRun]] = view.memory.table(set)
 
-    def announced(self, job: JobOpened, items: Iterable[JobItem]) -> None:
+    def note_expected_lengths(self, job: JobOpened, items: Iterable[JobItem]) -> None:
         """
-        Note the lengths that a new job's trainer expects.
+        Record the text lengths that the trainer expects for a new job.
         """
         self._lengths_of(job).announce([item.expected_tokens for item in items])
 
-    def whole(self, run: ItemRun) -> None:
+    def note_finished(self, run: ItemRun) -> None:
         """
-        Note how long a text has become.
+        Record the length of a finished text.
         """
         lengths = self._lengths_of(run.state.job)
         lengths.finished(run.item.expected_tokens, run.text.last)
 
     def take(self, run: ItemRun, engine: EngineEntry) -> Place:
         """
-        Take a place at an engine for an item.
+        Reserve a place at an engine for an item.
         """
         place = self._pool.take(engine, run.state.job.model)
-        there = self._running[engine.incarnation]
-        there.add(run)
+        running = self._running[engine.incarnation]
+        running.add(run)
 
-        def give_back() -> None:
+        def release_place() -> None:
             place.release()
-            there.discard(run)
+            running.discard(run)
 
-        return Place(give_back)
+        return Place(release_place)
 
-    def started(self, engine: EngineEntry, model: str) -> None:
+    def note_started(self, engine: EngineEntry, model: str) -> None:
         """
-        Note that an engine has begun with an item of a model.
+        Record that an engine has started to generate an item of a model.
         """
         self._pool.answered(engine, model)
 
     def saw(self, engine: EngineEntry, model: str, version: int) -> None:
         """
-        Note that an engine has made an event under a version of its weights.
+        Record the weight version under which an engine made an event.
         """
         self._pool.answered(engine)
         seen = self._seen_versions[engine.incarnation]
         if version > seen.get(model, 0):
-            # It has loaded, so it takes items of the model again.
+            # The load has ended, so the engine accepts items of the model again.
             self._pool.answered(engine, model)
             seen[model] = version
 
-    def weigh(self, run: ItemRun) -> None:
+    def update_is_long(self, run: ItemRun) -> None:
         """
-        Work out anew whether an item's text is long.
+        Update whether an item's text counts as long.
         """
         lengths = self._lengths_of(run.state.job)
         run.is_long = lengths.is_long(run.item.expected_tokens, run.text.last)
 
     def latest_start(self, run: ItemRun) -> float:
         """
-        Return by when an item must start to be whole as soon after its job's arrival as
-        any other, in seconds; the least goes first.
+        Return the sort key of a waiting item, in seconds; the smallest starts first.
 
-        So the long texts of all trainers come before the short ones, and old jobs
-        before new ones, in one currency.
+        It is the arrival of the job minus the expected time to generate the rest of the
+        text, so that long texts and old jobs start first across all trainers.
         """
-        return run.state.known_since - self._events_left(run) * self._usual_gap()
+        return run.state.known_since - self._events_left(run) * self._reference_gap()
 
     def choose(
         self, run: ItemRun, route: GatewayRoute, exclude: Collection[Incarnation]
     ) -> EngineEntry | None:
         """
-        Return an engine with room for an item, or none.
+        Return an eligible engine with a free slot for an item, or None.
 
-        :param exclude: Engines that are left out.
+        :param exclude: Engines that are not considered.
         """
         model, now = run.state.job.model, boot_time()
         engines = {
             engine.incarnation: engine
             for engine in self._pool.with_room(route.service(random.random()), model)
             if engine.incarnation not in exclude
-            and self._fits(engine, run)
-            and self._speaks(engine.incarnation, now)
+            and self._is_new_enough(engine, run)
+            and self._is_responsive(engine.incarnation, now)
         }
         seats = {self._seat(engine, now): engine for engine in engines.values()}
         best = self._paces.best_gap(engines, now)
         seat = choose_seat(list(seats), best, run.is_long)
         return seats[seat] if seat is not None else None
 
-    def elsewhere(self, run: ItemRun, engine: EngineEntry) -> EngineEntry | None:
+    def find_alternative(self, run: ItemRun, engine: EngineEntry) -> EngineEntry | None:
         """
-        Return another engine with room that could go on with an item.
+        Return another engine that could resume an item, or None.
         """
         job = run.state.job
         route = self._view.route(job.host, run.item.path.partition("?")[0])
         if route is None:
             return None
-        return self.choose(run, route, {*run.unfit, engine.incarnation})
+        return self.choose(run, route, {*run.ineligible, engine.incarnation})
 
-    def faster(self, run: ItemRun, engine: EngineEntry) -> EngineEntry | None:
+    def find_faster(self, run: ItemRun, engine: EngineEntry) -> EngineEntry | None:
         """
-        Return another engine where an item ends so much sooner that it should move.
+        Return another engine that is fast enough to be worth a move, or None.
         """
         now = boot_time()
         gap = self._paces.gap(engine.incarnation, now)
-        other = self.elsewhere(run, engine)
+        other = self.find_alternative(run, engine)
         if gap is None or other is None:
             return None
-        other_gap = self._paces.gap(other.incarnation, now)
-        if other_gap is None:
+        gap_there = self._paces.gap(other.incarnation, now)
+        if gap_there is None:
             return None
         left = self._events_left(run)
-        worth = is_worth_moving(left, gap, other_gap, run.pace_moves)
+        worth = is_worth_moving(left, gap, gap_there, run.pace_moves)
         return other if worth else None
 
-    def _speaks(self, engine: Incarnation, now: float) -> bool:
+    def _is_responsive(self, engine: Incarnation, now: float) -> bool:
         """
-        Whether an engine has not gone silent, as far as this node can tell.
+        Whether an engine still makes events, as far as this node knows.
         """
         if engine in self._silent:
             return False
         streams = any(run.has_events for run in self._running[engine])
-        return not streams or self._paces.silent_for(engine, now) <= _QUIET
+        return not streams or self._paces.silent_for(engine, now) <= _MAX_QUIET
 
     def _seat(self, engine: EngineEntry, now: float) -> Seat:
         return Seat(
@@ -189,15 +187,16 @@
         lengths = self._lengths_of(run.state.job)
         return lengths.left(run.item.expected_tokens, run.text.last)
 
-    def _usual_gap(self) -> float:
-        return self._paces.best_gap(self._running, boot_time()) or _USUAL_GAP
+    def _reference_gap(self) -> float:
+        return self._paces.best_gap(self._running, boot_time()) or _DEFAULT_GAP
 
     def _lengths_of(self, job: JobOpened) -> TextLengths:
         return self._lengths.setdefault(job.series, TextLengths())
 
-    def _fits(self, engine: EngineEntry, run: ItemRun) -> bool:
+    def _is_new_enough(self, engine: EngineEntry, run: ItemRun) -> bool:
         """
-        Whether an engine's weights are new enough, as far as this node knows.
+        Whether an engine's weights are new enough for an item, as far as this node
+        knows.
         """
         model = run.state.job.model
         if model not in engine.versions:
--- a/packages/saddledoord/src/saddledoord/jobs/record_writer.py
+++ b/packages/saddledoord/src/saddledoord/jobs/record_writer.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Brings job records into the log, many in one append.
+Writes job records to the log in batches.
 """
 
 from __future__ import annotations
@@ -19,26 +19,25 @@
 
 __all__ = ["JOBS_STREAM", "RecordWriter"]
 
-#: The stream that holds every job.
+#: The log stream of the job records.
 JOBS_STREAM = "jobs"
-#: How long records are gathered for one append, in seconds: a tenth of the least time
-#: that a trainer's read takes to come back (0.5 s), and then some.
+#: Time for which records are gathered for one batch, in seconds.
 _GATHER = 0.02
-#: Most records in one append, a count: one without its text takes about 100 bytes, or
-#: some hundred more for each piece of a long text.
-_MOST_RECORDS = 1000
-#: Most bytes of texts in one batch, so that the first results need not wait for all.
-_MOST_TEXT = 1_000_000
+#: Most records in one batch.
+_MAX_RECORDS = 1000
+#: Text in a batch, in bytes, from which no further record is added; bounds how long the
+#: first results wait for the others.
+_MAX_TEXT = 1_000_000
 
 
 @dataclass(frozen=True)
-class _Waiting:
+class _QueuedRecord:
     """
-    A record to be written.
+    A queued record.
 
-    :param text: Written first; empty for a record without one.
-    :param record_of: Makes the record from the place of its text.
-    :param written: Called when the log has it.
+    :param text: Its text, which is written first; empty for a record without one.
+    :param record_of: Makes the record from the position of its text.
+    :param written: Called when the log has acknowledged the record.
     """
 
     text: bytes
@@ -46,26 +45,29 @@
     written: Callable[[], None]
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
 class RecordWriter:
     """
-    Appends until the log has acknowledged; the fold ignores what comes twice.
+    Appends queued records until the log acknowledges them.
+
+    Readers ignore duplicates, so a record may be appended more than once.
     """
 
     def __init__(self, log: SharedLog, texts: TextStore) -> None:
         self._log = log
         self._texts = texts
-        self._waiting: list[_Waiting] = []
-        self._some = asyncio.Event()
+        self._queue: list[_QueuedRecord] = []
+        self._has_records = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
 
     def put(self, record: JobRecord) -> None:
         """
-        Queue a record; bounded by the open jobs, since an item has one result.
+        Queue a record. The queue is bounded by the open jobs, as an item has one
+        result.
         """
         self.put_with_text(b"", lambda _: record)
 
@@ -73,20 +75,21 @@
         self,
         text: bytes,
         record_of: Callable[[StoredText], JobRecord],
-        written: Callable[[], None] = _nothing,
+        written: Callable[[], None] = _do_nothing,
     ) -> None:
         """
-        Queue a text, and the record that tells where it is.
+        Queue a text and the record that refers to it.
 
-        :param written: Called when the log has it.
+        :param record_of: Makes the record from the position of its text.
+        :param written: Called when the log has acknowledged the record.
         """
-        self._waiting.append(_Waiting(text, record_of, written))
+        self._queue.append(_QueuedRecord(text, record_of, written))
         self._idle.clear()
-        self._some.set()
+        self._has_records.set()
 
     async def flushed(self, timeout: float) -> bool:
         """
-        Wait until everything queued is in the log, for so many seconds at most.
+        Wait until the queue is written; return False after a timeout, in seconds.
         """
         try:
             async with asyncio.timeout(timeout):
@@ -97,29 +100,29 @@
 
     async def run(self) -> None:
         """
-        Write until cancelled.
+        Write queued records until cancelled.
         """
         while True:
-            await self._some.wait()
+            await self._has_records.wait()
             await asyncio.sleep(_GATHER)
-            batch = self._take()
-            places = await self._texts.write([waiting.text for waiting in batch])
+            batch = self._next_batch()
+            positions = await self._texts.write([queued.text for queued in batch])
             records = [
-                encode_job_record(waiting.record_of(place))
-                for waiting, place in zip(batch, places, strict=True)
+                encode_job_record(queued.record_of(position))
+                for queued, position in zip(batch, positions, strict=True)
             ]
             await append_until_done(self._log, JOBS_STREAM, records)
-            for waiting in batch:
-                waiting.written()
-            if not self._waiting:
+            for queued in batch:
+                queued.written()
+            if not self._queue:
                 self._idle.set()
 
-    def _take(self) -> list[_Waiting]:
+    def _next_batch(self) -> list[_QueuedRecord]:
         count, size = 0, 0
-        while count < min(len(self._waiting), _MOST_RECORDS) and size < _MOST_TEXT:
-            size += len(self._waiting[count].text)
+        while count < min(len(self._queue), _MAX_RECORDS) and size < _MAX_TEXT:
+            size += len(self._queue[count].text)
             count += 1
-        batch, self._waiting = self._waiting[:count], self._waiting[count:]
-        if not self._waiting:
-            self._some.clear()
+        batch, self._queue = self._queue[:count], self._queue[count:]
+        if not self._queue:
+            self._has_records.clear()
         return batch
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -46,28 +46,29 @@
 
 _log = structlog.get_logger()
 
-#: How often engines are looked at again while items wait, in seconds.
-_TICK = 0.05
-#: How often events are given to the log, so that another node may go on, in seconds.
-_KEEP_EVERY = 0.5
-#: Fewest new events of an item that are worth a record, a count.
-_KEEP_LEAST = 8
+#: Interval between attempts to dispatch waiting items, in seconds.
+_DISPATCH_INTERVAL = 0.05
+#: Interval between writes of events to the log, from where another node can resume, in
+#: seconds.
+_PERSIST_INTERVAL = 0.5
+#: Fewest new events of an item for which a record is written.
+_MIN_NEW_EVENTS = 8
 
 
-Key = tuple[str, str]
+ItemKey = tuple[str, str]
 
 
 class JobRunner:
     """
-    Keeps every engine's slots filled with items that still count.
+    Dispatches the unfinished items of this node's jobs to engines with free slots.
 
-    :param owns: Whether this node runs a share of the jobs.
+    :param owns: Tells whether this node owns a share of the jobs.
     """
 
     @property
     def unreadable_items(self) -> int:
         """
-        Jobs of this node whose items could not be read, a count.
+        Number of this node's jobs whose items could not be decoded.
         """
         return self._items.unreadable
 
@@ -98,43 +99,45 @@
         self._attempts = attempts
         self._ends = ends
         self._placement = placement
-        self._runs: dict[Key, ItemRun] = {}
+        self._runs: dict[ItemKey, ItemRun] = {}
         self._items = ItemLoader(jobs, self.wake)
         self._wake = asyncio.Event()
         self._stopped = False
 
     def wake(self) -> None:
         """
-        Look again at what is to be done.
+        Run the next iteration of `run` without delay.
         """
         self._wake.set()
 
     async def run(self) -> None:
         """
-        Run items until cancelled.
+        Dispatch items until cancelled.
         """
         while True:
             self._wake.clear()
-            # Whoever has stood still asks first which items have ended engines.
+            # After a process pause, read first which items have crashed engines.
             await self._ends.ask()
             self._reconcile()
             if self._may_start():
                 self._dispatch()
             try:
-                async with asyncio.timeout(_TICK if self._waiting() else None):
+                async with asyncio.timeout(
+                    _DISPATCH_INTERVAL if self._waiting() else None
+                ):
                     await self._wake.wait()
             except TimeoutError:
                 pass
 
     def let_go(self) -> None:
         """
-        Drop at once what this node should not run any more.
+        Drop the items that this node should no longer run.
         """
         self._reconcile()
 
     def hand_over(self) -> None:
         """
-        Give all items up, and leave what was made of their texts to the next node.
+        Drop all items, and queue their events for the log so that other nodes resume.
         """
         self._stopped = True
         for key in list(self._runs):
@@ -142,13 +145,13 @@
 
     async def keep(self) -> None:
         """
-        Give the log what was made of long texts, until cancelled.
+        Write the events of unfinished texts to the log until cancelled.
         """
         while True:
-            await asyncio.sleep(_KEEP_EVERY)
+            await asyncio.sleep(_PERSIST_INTERVAL)
             for run in self._runs.values():
-                busy = run.listing or run.writing
-                if run.unkept >= _KEEP_LEAST and not busy:
+                busy = run.result_queued or run.persisting
+                if run.unpersisted >= _MIN_NEW_EVENTS and not busy:
                     run.keep(self._writer)
 
     def _waiting(self) -> bool:
@@ -156,18 +159,18 @@
 
     def _may_start(self) -> bool:
         """
-        Whether this node would know by now that a job has ended.
+        Whether this node would know that a job has ended.
         """
         return self._known_ends.may_start(boot_time())
 
     def _reconcile(self) -> None:
         """
-        Begin what this node should run, drop what it should not.
+        Create the items that this node should run, and drop those it should not.
         """
         if not self._jobs.caught_up:
-            # A job may seem open whose end is in the log already.
+            # A job may seem open although the log holds its end.
             return
-        wanted: dict[Key, tuple[JobState, JobItem]] = {}
+        wanted: dict[ItemKey, tuple[JobState, JobItem]] = {}
         for state in self._own_jobs():
             self._items.want(state)
             for item in state.unlisted():
@@ -180,22 +183,22 @@
             self._runs[key] = ItemRun.begin(*wanted[key])
         for job_id in {job_id for job_id, _ in new}:
             runs = [run for key, run in self._runs.items() if key[0] == job_id]
-            kept = sum(run.held_by_log.count for run in runs)
+            kept = sum(run.logged_parts.count for run in runs)
             items = sum(1 for key in new if key[0] == job_id)
             state = runs[0].state
-            self._placement.announced(state.job, state.items.values())
+            self._placement.note_expected_lengths(state.job, state.items.values())
             _log.info("job_taken_up", job=job_id, items=items, kept_events=kept)
 
     def _own_jobs(self) -> list[JobState]:
         """
-        Return the open jobs of this node's shares.
+        Return the open jobs of the shares that this node owns.
         """
         if self._stopped:
             return []
         jobs = self._jobs.open_jobs()
         return [s for s in jobs if self._owns(self._view.share_of(s.job))]
 
-    def _drop(self, key: Key, reason: str) -> None:
+    def _drop(self, key: ItemKey, reason: str) -> None:
         run = self._runs.pop(key)
         if run.task is not None:
             run.task.cancel()
@@ -212,7 +215,7 @@
         run.keep(self._writer)
 
     def _dispatch(self) -> None:
-        no_room: set[tuple[str, str, int]] = set()
+        unavailable: set[tuple[str, str, int]] = set()
         idle = [run for run in self._runs.values() if run.is_idle]
         idle.sort(key=self._placement.latest_start)
         for run in idle:
@@ -220,22 +223,22 @@
             route = self._view.route(job.host, run.item.path.partition("?")[0])
             if route is None:
                 continue
-            if self._too_old(run, route):
+            if self._is_expired(run, route):
                 self._give_up(run)
                 continue
-            needs = (route.name, job.model, job.oldest_version)
-            if needs in no_room and not run.unfit:
+            requirements = (route.name, job.model, job.oldest_version)
+            if requirements in unavailable and not run.ineligible:
                 continue
-            self._placement.weigh(run)
+            self._placement.update_is_long(run)
             standing = self._ends.standing(run.key)
             if standing is Standing.BARRED:
-                self._log_barred(run)
+                self._log_quarantined(run)
                 continue
             engine = self._choose(run, route, standing)
             if engine is None:
                 if standing is not Standing.UNCLEAR:
-                    no_room.add(needs)
-                run.unfit.clear()
+                    unavailable.add(requirements)
+                run.ineligible.clear()
                 continue
             self._begin(run, route, engine)
 
@@ -243,20 +246,23 @@
         self, run: ItemRun, route: GatewayRoute, standing: Standing
     ) -> EngineEntry | None:
         """
-        Return an engine for an item by what is known of it, or none.
+        Return an engine for an item, or None.
+
+        A suspect goes to an engine without other suspects if there is one; an item
+        whose standing is unclear goes to no other engine.
         """
         if standing is Standing.FREE:
-            return self._placement.choose(run, route, run.unfit)
-        taken = self._ends.with_suspects(run.key)
-        alone = self._placement.choose(run, route, run.unfit | taken)
-        if alone is not None or standing is Standing.UNCLEAR:
-            return alone
-        return self._placement.choose(run, route, run.unfit)
-
-    def _log_barred(self, run: ItemRun) -> None:
-        if run.barred:
+            return self._placement.choose(run, route, run.ineligible)
+        suspects = self._ends.with_suspects(run.key)
+        isolated = self._placement.choose(run, route, run.ineligible | suspects)
+        if isolated is not None or standing is Standing.UNCLEAR:
+            return isolated
+        return self._placement.choose(run, route, run.ineligible)
+
+    def _log_quarantined(self, run: ItemRun) -> None:
+        if run.quarantine_logged:
             return
-        run.barred = True
+        run.quarantine_logged = True
         _log.warning(
             "item_barred",
             job=run.state.job.job_id,
@@ -269,11 +275,11 @@
         place = self._placement.take(run, engine)
         run.engines.append(engine.engine_id)
         run.times.enter(ItemPhase.FIRST_EVENT, boot_time())
-        run.task = asyncio.create_task(self._work(run, route, engine, place))
-        run.task.add_done_callback(lambda task: self._ended(run, task, place))
+        run.task = asyncio.create_task(self._run_item(run, route, engine, place))
+        run.task.add_done_callback(lambda task: self._task_ended(run, task, place))
 
-    def _ended(self, run: ItemRun, task: asyncio.Task, place: Place) -> None:
-        # A task that is cancelled before it began has not given its place back.
+    def _task_ended(self, run: ItemRun, task: asyncio.Task, place: Place) -> None:
+        # A task that is cancelled before its first step has not released its place.
         place.release()
         if not task.cancelled() and task.exception() is not None:
             _log.error(
@@ -282,34 +288,34 @@
                 item=run.item.item_id,
                 exc_info=task.exception(),
             )
-            # By a fault of ours, not of the item: it must not wait for ever.
+            # A defect of this program, not a failure of the item: run the item again.
             run.task = None
         self.wake()
 
-    def _too_old(self, run: ItemRun, route: GatewayRoute) -> bool:
+    def _is_expired(self, run: ItemRun, route: GatewayRoute) -> bool:
         if route.give_up_after is None:
             return False
-        # Not by a time of day, which may jump and differs between VMs.
+        # Monotonic: the wall clock may jump and differs between VMs.
         age = boot_time() - run.state.known_since
         return age > route.give_up_after
 
-    async def _work(
+    async def _run_item(
         self, run: ItemRun, route: GatewayRoute, engine: EngineEntry, place: Place
     ) -> None:
         with place:
             try:
                 await self._load(run)
-                # This process may have stood still while it read.
+                # The process may have been paused during the read.
                 whole = self._may_start()
                 if whole:
                     await self._attempts.run(run, route, engine)
             except GenerationFailedError as error:
-                self._failed(run, engine, error.outcome, str(error))
+                self._handle_failure(run, engine, error.outcome, str(error))
                 whole = False
-        # The slot is free for the next item while this one is scored.
+        # The slot is free for another item while this one is scored.
         self.wake()
         if whole:
-            self._placement.whole(run)
+            self._placement.note_finished(run)
             await self._finish(run)
         else:
             run.times.enter(ItemPhase.PLACE, boot_time())
@@ -317,7 +323,7 @@
 
     async def _load(self, run: ItemRun) -> None:
         """
-        Go on from what others made of the text, or begin anew if it cannot be had.
+        Read the events in the log, or start from the prompt if they cannot be read.
         """
         try:
             await run.load(self._texts)
@@ -326,12 +332,12 @@
                 "kept_text_not_loaded",
                 job=run.state.job.job_id,
                 item=run.item.item_id,
-                events=run.held_by_log.count,
+                events=run.logged_parts.count,
                 reason=str(error),
             )
-            run.start_over()
+            run.discard_text()
 
-    def _failed(
+    def _handle_failure(
         self, run: ItemRun, engine: EngineEntry, outcome: str, reason: str
     ) -> None:
         job_id, item_id = run.state.job.job_id, run.item.item_id
@@ -352,7 +358,7 @@
             case GenerationFailedError.SLOW | GenerationFailedError.RESTARTED:
                 pass
             case GenerationFailedError.FAILED:
-                run.unfit.add(engine.incarnation)
+                run.ineligible.add(engine.incarnation)
                 self._count_failure(run)
             case GenerationFailedError.IMPOSSIBLE:
                 self._give_up(run)
@@ -387,7 +393,7 @@
                 self._give_up(run)
                 return
         versions = run.text.versions
-        run.listing = True
+        run.result_queued = True
         run.times.enter(ItemPhase.LOG, boot_time())
         self._writer.put_with_text(
             run.text.text.encode(),
@@ -399,12 +405,12 @@
 
     def _log_group(self, run: ItemRun) -> None:
         """
-        Tell where the time went of the item that its group waited for last.
+        Log the times of an item if it is the last of its group in the log.
         """
-        run.written = True
+        run.result_logged = True
         group = (run.state.job.job_id, run.item.group)
         for key, other in self._runs.items():
-            if (key[0], other.item.group) == group and not other.written:
+            if (key[0], other.item.group) == group and not other.result_logged:
                 return
         _log.info(
             "group_listed",
@@ -419,9 +425,11 @@
 
     def _give_up(self, run: ItemRun) -> None:
         """
-        Have an item listed as given up; the run stays until the log holds it.
+        Queue a result that lists an item as given up.
+
+        The run is dropped when this node reads the result in the log.
         """
-        run.listing = True
+        run.result_queued = True
         result = ItemResult(run.item.item_id, done=False)
         self._writer.put(ItemListed(run.state.job.job_id, result))
 
--- a/packages/saddledoord/src/saddledoord/jobs/scoring.py
+++ b/packages/saddledoord/src/saddledoord/jobs/scoring.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Has a finished text scored by the service that the trainer named.
+Calls the scoring service that the trainer named for a finished text.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 _log = structlog.get_logger()
 
-#: First and longest pause before a scoring call is repeated, in seconds, doubled each
-#: time: about its usual work (45 ms), and the time to a late repeat's answer.
+#: Initial and longest backoff between attempts of a scoring call, in seconds; doubled
+#: at each retry.
 _PAUSE = 0.05
 _PAUSE_MOST = 0.4
-#: Instances that one call may be sent to before it is repeated, a count.
-_AT_ONCE = 2
-#: Status by which an instance says that it failed; counts as an attempt.
-_FAILED = 500
-#: Pause while the call has no route, in seconds.
+#: Most instances that one attempt of a call may be sent to.
+_MAX_INSTANCES = 2
+#: Status of a failed call, which counts against the route's limit of attempts.
+_FAILED_STATUS = 500
+#: Backoff while the call has no route, in seconds.
 _NO_ROUTE_PAUSE = 0.5
 
 
@@ -45,7 +45,7 @@
 
 class Scorer:
     """
-    Repeats the call until it is answered; the trainer says that it may be repeated.
+    Retries scoring calls, which are safe to repeat, until one is answered.
     """
 
     def __init__(self, view: ClusterView, pass_through: PassThrough) -> None:
@@ -56,24 +56,24 @@
         self,
         call: ScoreCall,
         failures: int,
-        failed: Callable[[], None],
+        on_failure: Callable[[], None],
         may_call: Callable[[], bool],
     ) -> str:
         """
         Return the mark of the first successful answer.
 
-        :param failures: Failed calls so far, by whichever node.
-        :param failed: Called after each further one.
-        :param may_call: Whether the call may be made just now.
+        :param failures: Number of failed calls so far, by any node.
+        :param on_failure: Called after each further failure.
+        :param may_call: Tells whether the call may be sent now.
         :raises ScoreImpossibleError: After as many failures as the route allows.
         """
         pause = _PAUSE
 
-        def heard(outcome: Outcome) -> None:
+        def count_failure(outcome: Outcome) -> None:
             nonlocal failures
-            if isinstance(outcome, EngineAnswer) and outcome.status == _FAILED:
+            if isinstance(outcome, EngineAnswer) and outcome.status == _FAILED_STATUS:
                 failures += 1
-                failed()
+                on_failure()
 
         while True:
             if not may_call():
@@ -86,14 +86,14 @@
                 continue
             if failures >= route.max_attempts:
                 raise ScoreImpossibleError(call.request_id)
-            # Never more failures than the route allows, and a second instance beside
-            # one that is late: the whole step may be waiting for this answer.
-            left = min(_AT_ONCE, route.max_attempts - failures)
+            # A slow instance may get a hedge at a second one, within the route's limit
+            # of failures.
+            allowed = min(_MAX_INSTANCES, route.max_attempts - failures)
             outcome = await self._pass_through.run(
-                replace(route, max_attempts=left),
+                replace(route, max_attempts=allowed),
                 _request(call),
                 boot_time() + route.timeout,
-                heard,
+                count_failure,
                 call.request_id,
                 may_call,
             )
--- a/packages/saddledoord/src/saddledoord/jobs/service.py
+++ b/packages/saddledoord/src/saddledoord/jobs/service.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What callers may ask of batch jobs, at any node: submit, read, end.
+Serves the operations on batch jobs that callers may send to any node.
 """
 
 from __future__ import annotations
@@ -55,37 +55,33 @@
 
 _log = structlog.get_logger()
 
-#: Most text in one reading, in bytes; the platform's pages allow 1 MB.
-_MOST_READ = 900_000
-#: After how long, beyond the wait that its caller allows, a reading fetches no further
-#: page of texts, in seconds. Callers have 1.5 s, of which a page may take 0.1 s and the
-#: answer as much.
-_READ_LIMIT = 0.8
-#: How long a submission may try to get into the log, in seconds.
-_ACCEPT_LIMIT = 1.2
-#: Longest wait for the answer to one of them, in seconds: a store that is slowed down
-#: 60 times takes 0.24 s, and the submitter does better elsewhere than behind a cut.
-_APPEND_PATIENCE = 0.6
-#: Pause between those tries, in seconds.
-_ACCEPT_PAUSE = 0.05
-#: When a refused submitter should come back, in seconds.
-_COME_BACK = 0.2
-#: How much longer ended jobs are kept for readers than callers may ask, in seconds:
-#: what a submission may have been on its way.
-_KEEP_MARGIN = 10.0
-#: Pause after news of jobs at a node that runs none and at which nobody waits for a
-#: result, in seconds. The node that runs them appends up to 50 times a second, and each
-#: record would end the waiting read of every node.
+#: Most text on one page of results, in bytes; the platform allows 1 MB.
+_MAX_PAGE_TEXT = 900_000
+#: Time, beyond the wait that the caller allows, after which a read of results starts no
+#: further read of texts, in seconds; leaves time to answer before the caller times out.
+_TEXT_READ_LIMIT = 0.8
+#: Longest time for which an append to the log is retried, in seconds.
+_APPEND_RETRY_LIMIT = 1.2
+#: Timeout of one such append, in seconds.
+_APPEND_TIMEOUT = 0.6
+#: Pause between these retries, in seconds.
+_APPEND_RETRY_PAUSE = 0.05
+#: Time after which a rejected caller should retry, in seconds.
+_RETRY_AFTER = 0.2
+#: Time for which ended jobs are retained beyond the configured one, in seconds; covers
+#: submissions that were in flight.
+_RETENTION_MARGIN = 10.0
+#: Pause between reads of the log at a node that runs no jobs and has no waiting caller,
+#: in seconds. Without it each append would wake every node.
 _GATHER = 0.1
-#: How often old jobs are looked for, in seconds: it looks at all of them, and a start
-#: reads thousands of records.
-_FORGET_EVERY = 1.0
+#: Interval between removals of expired jobs, in seconds.
+_EXPIRY_INTERVAL = 1.0
 
 
 @dataclass(frozen=True)
 class Accepted:
     """
-    The log holds the job, or its end.
+    The log holds the job, or the record of its end.
     """
 
 
@@ -102,7 +98,10 @@
 @dataclass(frozen=True)
 class JobReading:
     """
-    Results from one position on.
+    A page of a job's results.
+
+    :param total: Number of items of the job.
+    :param next_position: Position after the last result of the page.
     """
 
     total: int
@@ -113,27 +112,29 @@
 @dataclass(frozen=True)
 class NoSuchJob:
     """
-    The log holds no such job, item or body.
+    The log holds no such job or item that the caller may see.
     """
 
 
 @dataclass(frozen=True)
 class Unsure:
     """
-    This node cannot read the log just now, so it does not know.
+    This node cannot read the log now; the caller should retry.
+
+    :param retry_after: Time until the retry, in seconds.
     """
 
-    retry_after: float = _COME_BACK
+    retry_after: float = _RETRY_AFTER
 
 
 class JobService:
     """
-    Answers from the fold of the log, read on where the fold alone is not sure.
+    Answers callers from the job state of this node, after a read of the log if needed.
 
     :param read_for: Age up to which an ended job may be read, in seconds.
-    :param retention: Age up to which the log keeps records, in seconds.
-    :param store_is_silent: Whether this node has heard nothing of the store lately.
-    :param runs_jobs: Whether this node runs any share of the jobs.
+    :param retention: Age up to which the log retains records, in seconds.
+    :param store_is_silent: Tells whether the store has not answered lately.
+    :param runs_jobs: Tells whether this node owns any share of the jobs.
     """
 
     def __init__(
@@ -154,64 +155,64 @@
         self._texts = texts
         self.keep_for(read_for, retention)
         self._changes = changes
-        self._changed = lambda: None
-        self._forgot_at = boot_time()
+        self._on_record = lambda: None
+        self._expired_at = boot_time()
         self._unreadable: set[tuple[str, str]] = set()
         self._follower = LogFollower(log, JOBS_STREAM, self._apply, gather=self._gather)
 
     @property
     def caught_up(self) -> bool:
         """
-        Whether the jobs accepted before this process began are known.
+        Whether the log has been read up to its end at the start of this process.
         """
         return self._follower.caught_up
 
     @property
     def store_reached(self) -> bool:
         """
-        Whether the store answered this node's last read.
+        Whether the store answered the last read.
         """
         return self._follower.reached
 
     @property
     def skipped(self) -> int:
         """
-        Records of jobs that could not be read, a count.
+        Number of job records that could not be decoded.
         """
         return self._follower.skipped
 
     @property
     def unreadable_texts(self) -> int:
         """
-        Results asked for whose text cannot be read, a count.
+        Number of requested results whose text could not be decoded.
         """
         return len(self._unreadable)
 
     @property
     def confirmed_at(self) -> float:
         """
-        When this node knew the log's end, monotonic, in seconds.
+        When this node last had read the whole log, monotonic, in seconds.
         """
         return self._follower.confirmed_at
 
     def open_jobs(self) -> list[JobState]:
         """
-        Return the jobs that have something to run, oldest first.
+        Return the jobs with unfinished items, oldest first.
         """
         return self._book.open_jobs()
 
     def keep_for(self, read_for: float, retention: float) -> None:
         """
-        Change how long jobs are kept for their readers, in seconds.
+        Change the ages up to which jobs may be read and records are retained.
         """
-        self._ended_for = read_for + _KEEP_MARGIN
-        self._open_for = max(self._ended_for, retention)
+        self._retain_ended = read_for + _RETENTION_MARGIN
+        self._retain_open = max(self._retain_ended, retention)
 
     def on_change(self, changed) -> None:
         """
-        Call a function after each record.
+        Set the function that is called after each record.
         """
-        self._changed = changed
+        self._on_record = changed
 
     async def run(self) -> None:
         """
@@ -221,13 +222,13 @@
 
     async def sync(self) -> bool:
         """
-        Learn everything that the log holds by now; false if the store did not answer.
+        Read the log up to its end; return False if the store does not answer.
         """
         return await self._follower.sync()
 
     async def submit(self, job: Job) -> Accepted | NotRun | OutcomeUnknown:
         """
-        Accept a job once the log holds it; the same job again is accepted again.
+        Append a job to the log; a repeated submission is accepted without a change.
         """
         known = self._book.get(job.job_id)
         if known is not None:
@@ -235,8 +236,8 @@
                 return Accepted()
             return NotRun(ResultCode.BAD_REQUEST, "the job's id is taken", 0.0)
         if self._store_is_silent():
-            return NotRun(ResultCode.LOG_AWAY, "the store is silent", _COME_BACK)
-        outcome = await self._open(job, boot_time() + _ACCEPT_LIMIT)
+            return NotRun(ResultCode.LOG_AWAY, "the store is silent", _RETRY_AFTER)
+        outcome = await self._append_opened(job, boot_time() + _APPEND_RETRY_LIMIT)
         code = ResultCode.DONE if isinstance(outcome, Accepted) else outcome.code
         _log.info(
             "job_submitted",
@@ -254,19 +255,19 @@
         self, job_id: str, position: int, wait: float, caller: str | None = None
     ) -> JobReading | NoSuchJob | Unsure:
         """
-        Return results from a position on, as many as their texts come in time.
+        Return results from a position on, as far as their texts are read in time.
 
-        :param wait: How long to wait for one, in seconds.
-        :param caller: The workspace of whoever asks, as in `Job`; for it, another
-            workspace's jobs are none.
+        :param wait: Longest wait for a result at that position, in seconds.
+        :param caller: The caller's workspace, as in `Job`; jobs of other workspaces
+            do not exist for it.
         """
-        texts_deadline = boot_time() + wait + _READ_LIMIT
+        texts_deadline = boot_time() + wait + _TEXT_READ_LIMIT
         state = await self._find(job_id, caller)
         if not isinstance(state, JobState):
             return state
         deadline = boot_time() + wait
         if self._gather() and self.store_reached:
-            # Otherwise a step's last result might wait for the trainer's next read.
+            # The log may hold results that this node has not read yet.
             await self._follower.sync()
         while position >= len(state.results) and boot_time() < deadline:
             if len(state.results) == state.job.size:
@@ -274,7 +275,7 @@
             await self._changes.wait(job_id, deadline - boot_time())
         if position >= len(state.results) and not await self._follower.sync():
             return Unsure()
-        results = _from_position(state.results, position)
+        results = _page_from(state.results, position)
         try:
             texts = await self._texts.read_first(
                 [result.text for result in results], texts_deadline
@@ -290,7 +291,7 @@
                 given=len(texts),
                 listed=len(results),
             )
-        # Results whose texts did not come in time are left to the next reading.
+        # The next call returns the results whose texts were not read in time.
         read = tuple(
             self._read_result(job_id, result, text)
             for result, text in zip(results, texts, strict=False)
@@ -299,10 +300,9 @@
 
     def _read_result(self, job_id: str, result: ItemResult, text: bytes) -> ReadResult:
         """
-        Return a result; one whose text cannot be read is one that was given up.
+        Return a result; one whose text cannot be decoded counts as given up.
 
-        At every node, since all read the same bytes, and the results behind it are
-        still read.
+        Every node reads the same bytes and so gives the same answer.
         """
         try:
             return ReadResult(result, text.decode())
@@ -338,10 +338,10 @@
 
     async def load_items(self, state: JobState) -> dict[str, JobItem]:
         """
-        Have a job's items, by id; only nodes that need them read them.
+        Return a job's items by id, and read them from the log at the first call.
 
-        :raises StoreAwayError: If they cannot be had now.
-        :raises UndecodableRecordError: If they are unusable.
+        :raises StoreAwayError: If they cannot be read now.
+        :raises UndecodableRecordError: If they cannot be decoded.
         """
         if state.items is None:
             (data,) = await self._texts.read([state.job.items])
@@ -352,7 +352,7 @@
         self, job_id: str, caller: str | None = None
     ) -> Accepted | NoSuchJob | Unsure:
         """
-        End a job once the log holds its end.
+        Append the end of a job to the log.
 
         :param caller: See `read`.
         """
@@ -362,7 +362,9 @@
         if state.ended:
             return Accepted()
         record = encode_job_record(JobEnded(job_id))
-        outcome = await self._append_surely([record], boot_time() + _ACCEPT_LIMIT)
+        outcome = await self._append_with_retries(
+            [record], boot_time() + _APPEND_RETRY_LIMIT
+        )
         _log.info(
             "job_ended",
             job=job_id,
@@ -387,63 +389,63 @@
             return NoSuchJob()
         return state
 
-    async def _open(
+    async def _append_opened(
         self, job: Job, deadline: float
     ) -> Accepted | NotRun | OutcomeUnknown:
         """
-        Store a job's items, then the record that makes it count.
+        Write a job's items, then the record that opens the job.
         """
         try:
             items = encode_job_items(job.items)
             (stored,) = await self._texts.write([items], deadline)
         except StoreAwayError as error:
-            # Items alone never run.
-            return NotRun(ResultCode.LOG_AWAY, str(error), _COME_BACK)
+            # Without the second record the items never run.
+            return NotRun(ResultCode.LOG_AWAY, str(error), _RETRY_AFTER)
         opened = encode_job_record(JobOpened.of(job, stored))
-        return await self._append_surely([opened], deadline)
+        return await self._append_with_retries([opened], deadline)
 
-    async def _append_surely(
+    async def _append_with_retries(
         self, records: list[bytes], deadline: float
     ) -> Accepted | NotRun | OutcomeUnknown:
         """
-        Append, again and again; the fold ignores what comes twice.
+        Append with retries; readers ignore duplicates.
 
-        :param deadline: When no further try begins, monotonic, in seconds.
+        :param deadline: Time after which no retry starts, monotonic, in seconds.
         """
-        may_be_there = False
+        may_be_logged = False
         reason = "the items took all the time"
         while boot_time() < deadline:
-            outcome = await self._log.append(JOBS_STREAM, records, _APPEND_PATIENCE)
+            outcome = await self._log.append(JOBS_STREAM, records, _APPEND_TIMEOUT)
             match outcome:
                 case Appended():
                     return Accepted()
                 case UnknownAppend(reason=reason):
-                    may_be_there = True
+                    may_be_logged = True
                 case NotAppended(reason=reason):
                     pass
-            await asyncio.sleep(_ACCEPT_PAUSE)
-        if may_be_there:
+            await asyncio.sleep(_APPEND_RETRY_PAUSE)
+        if may_be_logged:
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, reason)
-        return NotRun(ResultCode.LOG_AWAY, reason, _COME_BACK)
+        return NotRun(ResultCode.LOG_AWAY, reason, _RETRY_AFTER)
 
     def _gather(self) -> float:
         return 0.0 if self._runs_jobs() or self._changes.awaited else _GATHER
 
     def _apply(self, offset: int, data: bytes) -> None:
         job_id = self._book.apply(decode_job_record(data), boot_time())
-        if boot_time() - self._forgot_at > _FORGET_EVERY:
-            self._forgot_at = boot_time()
-            self._book.forget(self._forgot_at, self._ended_for, self._open_for)
+        if boot_time() - self._expired_at > _EXPIRY_INTERVAL:
+            self._expired_at = boot_time()
+            self._book.forget(self._expired_at, self._retain_ended, self._retain_open)
         self._changes.notify(job_id)
-        self._changed()
+        self._on_record()
 
 
-def _from_position(results: list[ItemResult], position: int) -> tuple[ItemResult, ...]:
+def _page_from(results: list[ItemResult], position: int) -> tuple[ItemResult, ...]:
     chosen: list[ItemResult] = []
     size = 0
     for result in results[position:]:
         size += result.text.size
-        if chosen and size > _MOST_READ:
+        if chosen and size > _MAX_PAGE_TEXT:
             break
         chosen.append(result)
     return tuple(chosen)
--- a/packages/saddledoord/src/saddledoord/jobs/texts.py
+++ b/packages/saddledoord/src/saddledoord/jobs/texts.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Texts of results and items of jobs, apart from the records that every node reads.
+Stores the texts of results and the items of jobs in a stream of their own.
 
-A node reads a text only if it is asked for it or goes on with it. Otherwise every node
-would read all texts, and after a loss of all nodes they would do so at once.
+Every node reads all records of jobs, but reads a text only when a caller asks for it or
+an engine is to resume it.
 """
 
 from __future__ import annotations
@@ -28,19 +28,17 @@
 
 _log = structlog.get_logger()
 
-#: The stream that holds the texts.
+#: The log stream of the texts.
 TEXTS_STREAM = "texts"
-#: Most that one read brings, in bytes: a second's texts of one trainer are 200 KB. A
-#: link that brings less than 0.6 MB a second is asked for less: while other calls are
-#: answered, a read is given up after 0.4 s.
-_PAGE = 262_144
-#: Most bytes of texts that are remembered: what a trainer's last two steps made.
+#: Largest page of one read, in bytes; `PageSize` lowers it for a slow link.
+_MAX_PAGE = 262_144
+#: Size of the cache of texts, in bytes.
 _REMEMBERED = 2_000_000
 
 
 class TextStore:
     """
-    Writes texts, and reads them back for those who ask.
+    Writes texts to the log and reads them back, with a cache.
 
     :param largest_record: Largest record of the log, in bytes.
     :param largest_append: Largest append to the log, in bytes.
@@ -51,68 +49,69 @@
     ) -> None:
         self._log = log
         self._largest_record = largest_record
-        self._records_at_once = max(1, largest_append // largest_record - 1)
-        self._remembered: OrderedDict[int, bytes] = OrderedDict()
-        self._size = 0
-        self._reading = asyncio.Lock()
-        self._page_size = PageSize(_PAGE)
+        self._records_per_append = max(1, largest_append // largest_record - 1)
+        self._cache: OrderedDict[int, bytes] = OrderedDict()
+        self._cached_size = 0
+        self._read_lock = asyncio.Lock()
+        self._page_size = PageSize(_MAX_PAGE)
         self._failed_at = float("-inf")
 
     async def write(
         self, texts: Sequence[bytes], deadline: float = math.inf
     ) -> list[StoredText]:
         """
-        Write texts, again and again until the log has them.
+        Write texts, with retries until the log acknowledges them.
 
-        :param deadline: When no further try begins, monotonic, in seconds.
-        :raises StoreAwayError: If the log has not acknowledged them by then.
+        :param deadline: Time after which no retry starts, monotonic, in seconds.
+        :returns: The position of each text.
+        :raises StoreAwayError: If the log has not acknowledged them by the deadline.
         """
-        cut = [self._cut(text) for text in texts]
-        pieces = list(chain.from_iterable(cut))
+        split = [self._split(text) for text in texts]
+        pieces = list(chain.from_iterable(split))
         offsets = iter(await self._append(pieces, deadline))
         return [
             StoredText(tuple(next(offsets) for _ in pieces), len(text))
-            for text, pieces in zip(texts, cut, strict=True)
+            for text, pieces in zip(texts, split, strict=True)
         ]
 
     async def read(self, texts: Sequence[StoredText]) -> list[bytes]:
         """
-        Read texts back.
+        Return the data of texts.
 
-        :raises StoreAwayError: If one cannot be had now.
+        :raises StoreAwayError: If one cannot be read now.
         """
         wanted = sorted({offset for text in texts for offset in text.offsets})
-        found = {o: self._remembered[o] for o in wanted if o in self._remembered}
+        found = {o: self._cache[o] for o in wanted if o in self._cache}
         asked = boot_time()
         for offset in wanted:
             if offset not in found:
-                await self._read_from(offset, asked, found)
+                await self._read_page(offset, asked, found)
         return [b"".join(found[o] for o in text.offsets) for text in texts]
 
     async def read_first(
         self, texts: Sequence[StoredText], deadline: float
     ) -> list[bytes]:
         """
-        Read back as many texts as come in time, from the first one on; at least one.
+        Return the texts that are read in time, from the first one on; at least one.
 
-        A job's texts stand among those of other jobs: 80 texts of 6.5 KB in 6.1 MB took
-        20 pages and 1.6 s at 3 MB a second, and a caller that left after 1.5 s and went
-        to another node had none of them, however often it asked.
+        The texts of a job may be spread over more pages than one call can read before
+        its caller times out.
 
-        :param deadline: When no further page is read, monotonic, in seconds.
-        :raises StoreAwayError: If the first one cannot be had now.
+        :param deadline: Time after which no further page is read, monotonic, in
+            seconds.
+        :raises StoreAwayError: If the first text cannot be read now.
         """
         read: list[bytes] = []
         found: dict[int, bytes] = {}
         asked = boot_time()
         for text in texts:
-            missing = [o for o in text.offsets if not self._have(o, found)]
+            missing = [o for o in text.offsets if not self._is_known(o, found)]
             if read and missing and boot_time() >= deadline:
                 break
             try:
                 for offset in missing:
                     if offset not in found:
-                        await self._read_from(offset, asked, found)
+                        await self._read_page(offset, asked, found)
             except StoreAwayError as error:
                 if not read:
                     raise
@@ -121,48 +120,54 @@
             read.append(b"".join(found[o] for o in text.offsets))
         return read
 
-    def _have(self, offset: int, found: dict[int, bytes]) -> bool:
+    def _is_known(self, offset: int, found: dict[int, bytes]) -> bool:
         """
-        Tell whether a record needs no read, and keep it for as long as it is wanted.
+        Whether a record is known; copies a cached one, since the cache may evict it.
         """
-        if offset not in found and offset in self._remembered:
-            found[offset] = self._remembered[offset]
+        if offset not in found and offset in self._cache:
+            found[offset] = self._cache[offset]
         return offset in found
 
-    def _cut(self, text: bytes) -> list[bytes]:
+    def _split(self, text: bytes) -> list[bytes]:
         size = self._largest_record
         return [text[i : i + size] for i in range(0, len(text), size)]
 
     async def _append(self, pieces: list[bytes], deadline: float) -> list[int]:
         offsets: list[int] = []
-        for begin in range(0, len(pieces), self._records_at_once):
-            group = pieces[begin : begin + self._records_at_once]
+        for begin in range(0, len(pieces), self._records_per_append):
+            group = pieces[begin : begin + self._records_per_append]
             done = await append_until_done(self._log, TEXTS_STREAM, group, deadline)
             for index, piece in enumerate(group):
-                self._remember(done.offset + index, piece)
+                self._add_to_cache(done.offset + index, piece)
                 offsets.append(done.offset + index)
         return offsets
 
-    async def _read_from(
+    async def _read_page(
         self, offset: int, asked: float, found: dict[int, bytes]
     ) -> None:
         """
-        Read a page of records, the first of which is wanted.
+        Read a page of records from an offset on.
+
+        :param asked: When the caller's request began, monotonic, in seconds; a read of
+            another caller that failed since then counts for it as well.
+        :raises StoreAwayError: If the record at the offset cannot be read now.
         """
-        async with self._reading:
-            # Another reader may have brought it, or may have waited in vain.
-            if offset in self._remembered:
-                found[offset] = self._remembered[offset]
+        async with self._read_lock:
+            # Another caller may have read it, or failed to, during the wait.
+            if offset in self._cache:
+                found[offset] = self._cache[offset]
                 return
             if self._failed_at > asked:
-                raise StoreAwayError("another read of texts failed just now")
+                raise StoreAwayError("a concurrent read of texts failed")
             try:
                 page = await self._log.read(
                     TEXTS_STREAM, offset, largest=self._page_size.current
                 )
             except LogGoneError as error:
                 _log.error("text_gone", offset=offset, first=error.first)
-                raise StoreAwayError(f"text {offset} is gone") from None
+                raise StoreAwayError(
+                    f"text {offset} was dropped from the log"
+                ) from None
             except StoreAwayError:
                 self._failed_at = boot_time()
                 self._page_size.failed()
@@ -170,15 +175,15 @@
             self._page_size.answered()
         for index, record in enumerate(page.records):
             found[offset + index] = record
-            self._remember(offset + index, record)
+            self._add_to_cache(offset + index, record)
         if offset not in found:
             raise StoreAwayError(f"no text at offset {offset}")
 
-    def _remember(self, offset: int, record: bytes) -> None:
-        if offset in self._remembered:
+    def _add_to_cache(self, offset: int, record: bytes) -> None:
+        if offset in self._cache:
             return
-        self._remembered[offset] = record
-        self._size += len(record)
-        while self._size > _REMEMBERED:
-            _, oldest = self._remembered.popitem(last=False)
-            self._size -= len(oldest)
+        self._cache[offset] = record
+        self._cached_size += len(record)
+        while self._cached_size > _REMEMBERED:
+            _, oldest = self._cache.popitem(last=False)
+            self._cached_size -= len(oldest)
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -34,10 +34,10 @@
     Guard(
         "a barred item reaches no engine",
         f"{DAEMON}/jobs/runner.py",
-        """                self._log_barred(run)
+        """                self._log_quarantined(run)
                 continue
 """,
-        "                self._log_barred(run)\n",
+        "                self._log_quarantined(run)\n",
         (CRASHING, "item_that_ends_engines"),
     ),
     Guard(
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -107,8 +107,8 @@
     Guard(
         "an append without an answer is no refusal",
         f"{DAEMON}/jobs/service.py",
-        "may_be_there = True",
-        "may_be_there = False",
+        "may_be_logged = True",
+        "may_be_logged = False",
         (JOBS, "not_called_not_run"),
     ),
     Guard(
@@ -142,22 +142,22 @@
     Guard(
         "a short text stays where it is",
         f"{DAEMON}/jobs/attempt.py",
-        "and now - began_at >= _STAY_TIME",
-        "and stayed",
+        "and now - began_at >= _MIN_STAY_TIME",
+        "and made",
         ("tests/test_attempt.py", "short_text"),
     ),
     Guard(
         "what is refused of a text is given again, whole",
         f"{DAEMON}/jobs/item_run.py",
-        '            self.kept, self.kept_chain = 0, ""\n',
+        '            self.persisted, self.persisted_chain = 0, ""\n',
         "            pass\n",
         ("tests/test_item_run.py", "another_run_s"),
     ),
     Guard(
         "a scoring call fails no more often than allowed",
         f"{DAEMON}/jobs/scoring.py",
-        "left = min(_AT_ONCE, route.max_attempts - failures)",
-        "left = _AT_ONCE",
+        "allowed = min(_MAX_INSTANCES, route.max_attempts - failures)",
+        "allowed = _MAX_INSTANCES",
         (PASS, "as_often_as"),
     ),
     Guard(
@@ -201,7 +201,7 @@
     Guard(
         "items do not move to an engine that is falling silent",
         f"{DAEMON}/jobs/placement.py",
-        "return not streams or self._paces.silent_for(engine, now) <= _QUIET",
+        "return not streams or self._paces.silent_for(engine, now) <= _MAX_QUIET",
         "return True",
         ("tests/test_placement.py", "streams_have_stopped"),
     ),
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -45,19 +45,19 @@
     def __init__(self) -> None:
         self.versions: list[int] = []
 
-    def started(self, engine, model):
+    def note_started(self, engine, model):
         pass
 
     def saw(self, engine, model, version):
         self.versions.append(version)
 
-    def weigh(self, run):
+    def update_is_long(self, run):
         pass
 
-    def elsewhere(self, run, engine):
+    def find_alternative(self, run, engine):
         return make_engine_entry("fast")
 
-    def faster(self, run, engine):
+    def find_faster(self, run, engine):
         return make_engine_entry("fast")
 
 
--- a/tests/test_job_items.py
+++ b/tests/test_job_items.py
@@ -109,7 +109,7 @@
     """
     The submitter is told so in time to ask another node, and no node hears of the job.
     """
-    monkeypatch.setattr(service_module, "_ACCEPT_LIMIT", 0.3)
+    monkeypatch.setattr(service_module, "_APPEND_RETRY_LIMIT", 0.3)
     log = _NoTexts()
 
     async def play():
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -100,7 +100,7 @@
     bed.pace("e-0", 0.2)
     if other is not None:
         bed.pace("e-1", other)
-    faster = bed.placement.faster(bed.run, make_engine_entry("e-0"))
+    faster = bed.placement.find_faster(bed.run, make_engine_entry("e-0"))
     assert (faster is not None) == moves
 
 
