--- a/packages/saddledoord/src/saddledoord/duties/__init__.py
+++ b/packages/saddledoord/src/saddledoord/duties/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Duties that one node has at a time, and the usage that it reports to the platform.
+Duties, each performed by the node that holds its lease, such as usage reports.
 """
--- a/packages/saddledoord/src/saddledoord/duties/lease.py
+++ b/packages/saddledoord/src/saddledoord/duties/lease.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The lease of a duty, which one node has at a time.
+The lease of a duty, which one node holds at a time.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 _log = structlog.get_logger()
 
-#: Renewals per term, a count.
+#: Renewals per term.
 _RENEWALS = 3
-#: How often the lease is looked at, as a share of its term.
-_LOOKS = 12
-#: How long a node stays aside, in terms: nodes must not take turns in one.
-_ASIDE = 3
+#: Checks of the lease per term.
+_CHECKS = 12
+#: Time for which a node does not claim the lease after `back_off`, in terms.
+_BACKOFF_TERMS = 3
 
 
 class DutyLease:
     """
-    Takes and renews the lease; its fencing number is the offset of the claim.
+    Claims and renews the lease; its fencing number is the offset of the claim.
 
-    :param duty: Names it.
-    :param term: In seconds.
+    :param duty: Name of the lease.
+    :param term: Time for which a claim or a renewal is valid, in seconds.
     """
 
     def __init__(self, leases: LeaseLog, duty: str, term: float) -> None:
@@ -40,7 +40,7 @@
         self._term = term
         self._held: HeldLease | None = None
         self._released = False
-        self._aside_until = float("-inf")
+        self._backoff_until = float("-inf")
 
     def current(self, margin: float) -> HeldLease | None:
         """
@@ -49,9 +49,11 @@
         held = self._held
         return held if held and held.may_act(boot_time(), margin) else None
 
-    def fenced(self, fence: int) -> None:
+    def note_fenced(self, fence: int) -> None:
         """
-        Note that whoever is acted upon has seen a higher fencing number.
+        Drop the lease, because a receiver has seen a higher fencing number.
+
+        :param fence: The fencing number that was refused.
         """
         if self._held is not None and self._held.fence == fence:
             _log.warning("duty_fenced", duty=self._duty, fence=fence)
@@ -59,28 +61,28 @@
 
     async def run(self) -> None:
         """
-        Take the lease when it is free, renew it while held, until cancelled.
+        Claim the lease when it is free, and renew it while held, until cancelled.
         """
         while True:
-            await self._leases.wait(self._term / _LOOKS)
+            await self._leases.wait(self._term / _CHECKS)
             if self._leases.caught_up and self._may_hold():
-                await self._look()
+                await self._check()
 
     async def release(self) -> None:
         """
-        Give the lease up for good, so that another node may take it at once.
+        Release the lease for good, so that another node can claim it at once.
         """
         self._released = True
-        await self._give_up()
+        await self._release_held()
 
-    async def step_aside(self) -> None:
+    async def back_off(self) -> None:
         """
-        Leave the duty to other nodes for a while: this one cannot do it.
+        Release the lease, and do not claim it for a while.
         """
-        self._aside_until = boot_time() + _ASIDE * self._term
-        await self._give_up()
+        self._backoff_until = boot_time() + _BACKOFF_TERMS * self._term
+        await self._release_held()
 
-    async def _give_up(self) -> None:
+    async def _release_held(self) -> None:
         self._held = None
         lease = self._leases.get(self._duty)
         if lease is not None and self._leases.is_mine(self._duty):
@@ -88,9 +90,9 @@
             await self._leases.release([self._duty])
 
     def _may_hold(self) -> bool:
-        return not self._released and boot_time() >= self._aside_until
+        return not self._released and boot_time() >= self._backoff_until
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         now = boot_time()
         held = self._held
         if held is not None and not self._still_holds(held, now):
@@ -100,8 +102,8 @@
             if self._leases.may_take(self._duty, self._term):
                 await self._claim()
             elif self._leases.is_mine(self._duty):
-                # It ran out while the store was away; a renewal that counts shows
-                # that nobody has taken it since.
+                # It expired while the store was unreachable; a successful renewal shows
+                # that no other node has claimed it since.
                 await self._renew()
         elif held.deadline - now < self._term * (1 - 1 / _RENEWALS):
             await self._renew()
@@ -111,22 +113,22 @@
         return held.may_act(now) and lease is not None and lease.fence == held.fence
 
     async def _claim(self) -> None:
-        before = boot_time()
+        began = boot_time()
         lease = await self._leases.claim(self._duty)
         if lease is None:
             return
         if not self._may_hold():
             await self._leases.release([self._duty])
             return
-        self._take(lease, before)
+        self._set_held(lease, began)
         _log.info("duty_taken", duty=self._duty, fence=lease.fence)
 
     async def _renew(self) -> None:
-        before = boot_time()
+        began = boot_time()
         lease = self._leases.get(self._duty)
         if lease is not None and await self._leases.renew([self._duty]):
-            self._take(lease, before)
+            self._set_held(lease, began)
 
-    def _take(self, lease: Lease, before: float) -> None:
+    def _set_held(self, lease: Lease, began: float) -> None:
         if self._may_hold() and self._leases.is_mine(self._duty):
-            self._held = HeldLease(self._duty, lease.fence, before + self._term)
+            self._held = HeldLease(self._duty, lease.fence, began + self._term)
--- a/packages/saddledoord/src/saddledoord/duties/usage.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Puts the duty of usage together: counting at every node, reporting by one.
+Usage accounting: every node counts requests, and the lease holder reports them.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 class UsageDuty:
     """
-    One node's part of it.
+    One node's part of the usage accounting.
 
     :param vm: Name of the VM.
-    :param address: Its IP address; a VM that takes another's place has another one.
+    :param address: Its IP address; differs for a replacement of the VM.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         vm: str,
         address: str,
     ) -> None:
-        # Another process of the VM counts from nothing.
+        # Unique for each process, since each counts from 0.
         source = f"{vm}@{address}#{secrets.token_hex(4)}"
         self._lease = lease
         self._counter = UsageCounter(log, source, windows)
@@ -51,18 +51,18 @@
 
     def loops(self) -> list[Coroutine]:
         """
-        Return what runs until cancelled.
+        Return the coroutines that run until cancelled.
         """
         return [self._lease.run(), self._counter.run(), self._reporter.run()]
 
     async def release(self) -> None:
         """
-        Leave the duty to the other nodes; this one goes on counting.
+        Release the lease for reports; the node still counts requests.
         """
         await self._lease.release()
 
     async def close(self) -> None:
         """
-        Give the log the last counts.
+        Write the last counts to the log.
         """
         await self._counter.flush()
--- a/packages/saddledoord/src/saddledoord/duties/usage_counter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_counter.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Counts this node's requests by workspace and window, and gives the counts to the log.
+Counts this node's requests by workspace and window, and writes the counts to the log.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 _log = structlog.get_logger()
 
-#: The stream of counts and decisions; only who has the duty reads it.
+#: The log stream of counts and decisions; only the lease holder reads it.
 USAGE_STREAM = "usage"
-#: How long counts are gathered before they are given to the log, in seconds: what a VM
-#: that is lost had counted since is lost with it.
+#: Time for which counts are gathered before they are written, in seconds; a crash loses
+#: the counts of this time.
 _GATHER = 0.5
-#: Longest wait for the answer to an append, in seconds.
-_PATIENCE = 0.6
+#: Timeout of an append, in seconds.
+_APPEND_TIMEOUT = 0.6
 
 
 class UsageCounter:
     """
-    Told of every request that engines began.
+    Counts the requests that engines have started to run.
 
-    :param source: Names this process.
-    :param unix_time: Returns the VM's time of day, in seconds.
+    :param source: Unique name of this process.
+    :param unix_time: Returns the VM's wall clock time, in seconds.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self._unix_time = unix_time
         self._time = TrueTime(unix_time(), boot_time())
         self._meter = UsageMeter(source, windows.of(self.now))
-        self._counted = asyncio.Event()
+        self._has_counts = asyncio.Event()
 
     @property
     def now(self) -> float:
         """
-        The true time, in seconds since the start of 1970.
+        The estimated wall clock time, in seconds since the start of 1970.
         """
         return self._time.at(boot_time())
 
@@ -67,17 +67,16 @@
         :param began_at: When an engine began to run it, monotonic, in seconds.
         """
         self._meter.count(workspace, self._windows.of(self._time.at(began_at)))
-        self._counted.set()
+        self._has_counts.set()
 
     async def run(self) -> None:
         """
-        Give counts to the log, a while after the first one, and say of each window when
-        it is whole, until cancelled.
+        Write counts and the ends of windows to the log until cancelled.
         """
         while True:
             try:
                 async with asyncio.timeout(_GATHER):
-                    await self._counted.wait()
+                    await self._has_counts.wait()
                 await asyncio.sleep(_GATHER)
             except TimeoutError:
                 pass
@@ -87,16 +86,16 @@
 
     async def flush(self) -> None:
         """
-        Give the log what it has not been given.
+        Write the unwritten counts to the log.
         """
-        self._counted.clear()
+        self._has_counts.clear()
         records = self._meter.take()
         if not records:
             return
         data = [encode_record(record).encode() for record in records]
-        outcome = await self._log.append(USAGE_STREAM, data, _PATIENCE)
+        outcome = await self._log.append(USAGE_STREAM, data, _APPEND_TIMEOUT)
         if not isinstance(outcome, Appended):
             _log.info("usage_not_written", reason=outcome.reason)
-            # The same counts again change nothing.
+            # Records that were written all the same have no effect when repeated.
             self._meter.give_back(records)
-            self._counted.set()
+            self._has_counts.set()
--- a/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Reports usage to the platform, as one node at a time.
+Reports usage to the platform from the node that holds the lease.
 
-What is reported of a window is decided once, in the log, before it is sent: whoever
-holds the duty later sends exactly that again.
+The counts of a window are decided in the log before they are sent, so that a later
+lease holder repeats exactly the same report.
 """
 
 from __future__ import annotations
@@ -40,21 +40,21 @@
 
 _log = structlog.get_logger()
 
-#: How often the holder looks whether a window is to be reported, in seconds.
-_LOOK = 0.25
-#: How long the lease must still hold when a call is sent, in seconds: the longest wait
-#: for its answer.
+#: Interval between checks for windows to report, in seconds.
+_CHECK_INTERVAL = 0.25
+#: Shortest remaining validity of the lease when a call is sent, in seconds; covers the
+#: timeout of the call.
 _CALL_MARGIN = 0.6
-#: Pause after a call that came to nothing, in seconds; drawn between this and twice.
-_PAUSE = 0.3
-#: After how long without any answer the duty is left to another node, which may reach
-#: the platform, in seconds.
-_STEP_ASIDE_AFTER = 2.5
+#: Shortest pause after a failed call, in seconds; the longest is twice as long.
+_RETRY_PAUSE = 0.3
+#: Time without a successful call after which the lease is left to another node, in
+#: seconds; that node may reach the platform.
+_BACK_OFF_AFTER = 2.5
 
 
 class UsageReporter:
     """
-    Works while this node has the duty.
+    Decides and reports windows while this node holds the lease.
 
     :param holder: Name of this VM.
     """
@@ -75,19 +75,19 @@
         self._windows = windows
         self._holder = holder
         self._book = UsageBook()
-        self._next = 0
+        self._next_offset = 0
         self._sent: set[int] = set()
-        self._unheard_since: float | None = None
+        self._failing_since: float | None = None
 
     async def run(self) -> None:
         """
-        Report until cancelled.
+        Report windows until cancelled.
         """
         while True:
-            await asyncio.sleep(_LOOK)
+            await asyncio.sleep(_CHECK_INTERVAL)
             if self._lease.current(_CALL_MARGIN) is None:
-                # Whoever has the duty meanwhile may be heard.
-                self._unheard_since = None
+                # Another lease holder may reach the platform.
+                self._failing_since = None
                 continue
             try:
                 await self._report_due()
@@ -99,8 +99,8 @@
         unsent = [w for w in self._windows_due(now) if w not in self._sent]
         if not unsent:
             return
-        await self._read_on()
-        # The log may hold decisions of windows that this node did not know of.
+        await self._read_log()
+        # The log may hold decisions that this node had not read.
         for window in self._windows_due(now):
             if window in self._sent:
                 continue
@@ -109,8 +109,8 @@
 
     def _windows_due(self, now: float) -> list[int]:
         """
-        Return the windows that may be decided on, and those decided on whose report may
-        not have come, oldest first.
+        Return the decided windows whose report may be missing, then those that may be
+        decided, each oldest first.
         """
         book, windows = self._book, self._windows
         known = windows.to_repeat(now, book.last_decided)
@@ -119,7 +119,8 @@
 
     def _is_ready(self, window: int, now: float) -> bool:
         """
-        Whether a window is decided, or may be: all have counted it, or time presses.
+        Whether a window is decided, or may be since all nodes have counted it or its
+        wait has expired.
         """
         if self._book.decided(window) is not None or self._book.is_whole(window):
             return True
@@ -127,7 +128,7 @@
 
     async def _report(self, window: int) -> bool:
         """
-        Report a window; false if the next one has to wait.
+        Report a window; return False if it was not reported.
         """
         counts = await self._decide(window)
         held = self._lease.current(_CALL_MARGIN)
@@ -146,51 +147,51 @@
         )
         match outcome:
             case DutyOutcome.DONE:
-                self._unheard_since = None
+                self._failing_since = None
                 self._note_sent(window)
                 return True
             case DutyOutcome.FENCED:
-                self._lease.fenced(held.fence)
+                self._lease.note_fenced(held.fence)
             case DutyOutcome.REFUSED | DutyOutcome.UNKNOWN:
-                await self._not_heard()
+                await self._note_failure()
         return False
 
     def _note_sent(self, window: int) -> None:
         """
-        Remember that a report has come, as long as it might be repeated.
+        Remember a reported window for as long as its report could be repeated.
         """
         first = self._windows.first_to_repeat(self._counter.now)
         self._sent = {known for known in self._sent if known >= first} | {window}
 
     async def _decide(self, window: int) -> dict[str, int] | None:
         """
-        Return what is reported of a window, none if that is not certain yet.
+        Return the decided counts of a window; None if there is no decision yet.
         """
         decided = self._book.decided(window)
         if decided is not None:
             return decided
         record = UsageDecided(window, self._book.counted(window))
         await self._log.append(USAGE_STREAM, [encode_record(record).encode()])
-        # Whatever became of the append, the log tells which decision came first.
-        await self._read_on()
+        # The first decision in the log counts, also if the append has failed.
+        await self._read_log()
         return self._book.decided(window)
 
-    async def _read_on(self) -> None:
+    async def _read_log(self) -> None:
         """
-        Fold everything that the log holds.
+        Apply all records up to the end of the log.
 
         :raises StoreAwayError: If the store does not answer.
         """
         while True:
             try:
-                page = await self._log.read(USAGE_STREAM, self._next)
+                page = await self._log.read(USAGE_STREAM, self._next_offset)
             except LogGoneError as error:
-                self._next = error.first
+                self._next_offset = error.first
                 continue
             for record in page.records:
                 self._apply(record)
-                self._next += 1
-            if self._next >= page.end:
+                self._next_offset += 1
+            if self._next_offset >= page.end:
                 return
 
     def _apply(self, data: bytes) -> None:
@@ -200,16 +201,16 @@
             _log.error(
                 "record_skipped",
                 topic=USAGE_STREAM,
-                offset=self._next,
+                offset=self._next_offset,
                 reason=str(error),
             )
 
-    async def _not_heard(self) -> None:
+    async def _note_failure(self) -> None:
         now = boot_time()
-        if self._unheard_since is None:
-            self._unheard_since = now
-        if now - self._unheard_since > _STEP_ASIDE_AFTER:
-            self._unheard_since = None
-            await self._lease.step_aside()
+        if self._failing_since is None:
+            self._failing_since = now
+        if now - self._failing_since > _BACK_OFF_AFTER:
+            self._failing_since = None
+            await self._lease.back_off()
             return
-        await asyncio.sleep(random.uniform(_PAUSE, 2 * _PAUSE))
+        await asyncio.sleep(random.uniform(_RETRY_PAUSE, 2 * _RETRY_PAUSE))
--- a/packages/saddledoord/src/saddledoord/orders/__init__.py
+++ b/packages/saddledoord/src/saddledoord/orders/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Orders to engines, by one holder at a time.
+Orders to engines, sent by the node that holds their lease.
 """
--- a/packages/saddledoord/src/saddledoord/orders/weights.py
+++ b/packages/saddledoord/src/saddledoord/orders/weights.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Brings the engines to the weight versions that trainers name, a few at a time.
+Orders engines to load the weight versions that trainers name, a few at a time.
 """
 
 from __future__ import annotations
@@ -33,34 +33,33 @@
 
 _log = structlog.get_logger()
 
-#: How often the engines are looked at, in seconds.
-_LOOK = 0.05
-#: How long the lease must still hold when an order is sent, in seconds: the longest
-#: wait for its answer.
+#: Interval between checks of the engines, in seconds.
+_CHECK_INTERVAL = 0.05
+#: Shortest remaining validity of the lease when an order is sent, in seconds; covers
+#: the timeout of the order.
 _ORDER_MARGIN = 0.6
-#: How often an engine that loads is asked whether it is done, in seconds; its report is
-#: some 0.1 s old.
-_POLL = 0.05
-#: When it is asked first, as a share of what the quickest load of late took; before any
-#: load is known, after so many seconds.
-_FIRST_POLL = 0.9
-_FIRST_POLL_UNKNOWN = 0.3
-#: Loads whose times are remembered, a count.
-_REMEMBERED = 16
-#: How long a load may take before the order is given again, in seconds.
-_LOAD_LIMIT = 4.0
-#: Pause after an order that came to nothing, in seconds.
+#: Interval between polls of a loading engine, in seconds.
+_POLL_INTERVAL = 0.05
+#: Time of the first poll, as a share of the shortest recent load.
+_FIRST_POLL_SHARE = 0.9
+#: Time of the first poll before any load is known, in seconds.
+_FIRST_POLL_TIME = 0.3
+#: Number of recent loads whose times are kept.
+_MAX_LOAD_TIMES = 16
+#: Longest time of a load before the order is repeated, in seconds.
+_LOAD_TIMEOUT = 4.0
+#: Pause after an order without success, in seconds.
 _RETRY_PAUSE = 0.3
 
 
 @dataclass(eq=False)
-class _Loaded:
+class _EngineWeights:
     """
-    What this node knows of an engine's weights beyond its entry.
+    What this node knows of an engine's weights beyond its registry entry.
 
-    :param reached: Versions that its reports have shown, by model.
-    :param load: What it is being brought to, if anything.
-    :param paused_until: When it is looked at again, monotonic, in seconds.
+    :param reached: Loaded versions according to its reports, by model.
+    :param load: The load in progress, or None.
+    :param paused_until: Time before which it gets no order, monotonic, in seconds.
     """
 
     reached: dict[str, int] = field(default_factory=dict)
@@ -71,7 +70,7 @@
 @dataclass(frozen=True)
 class _Load:
     """
-    An engine that is being brought to a version.
+    A load of a weight version at one engine.
     """
 
     engine: EngineEntry
@@ -81,14 +80,13 @@
 
 class WeightKeeper:
     """
-    Gives absolute orders under the lease's fencing number.
+    Sends load orders with the fencing number of the lease.
 
-    Each order names the incarnation and the count of orders the engine has taken, so
-    one that is carried out late, after a newer one, is refused by the engine.
+    Each order is for one incarnation of an engine and carries the number of orders that
+    it has accepted, so that the engine refuses an order that arrives after a newer one.
 
-    :param keep_runs: Tells of a model whether runs may go on under new weights.
-    :param oldest_allowed: Tells of a model the oldest version that its newest job
-        allows.
+    :param keep_runs: Whether running texts of a model may continue under new weights.
+    :param oldest_allowed: Returns the oldest version that a model's newest job allows.
     """
 
     def __init__(
@@ -108,43 +106,49 @@
         self._holder = holder
         self._keep_runs = keep_runs
         self._oldest_allowed = oldest_allowed
-        self._loaded: EngineTable[_Loaded] = view.memory.table(_Loaded)
+        self._engine_weights: EngineTable[_EngineWeights] = view.memory.table(
+            _EngineWeights
+        )
         self._tasks: set[asyncio.Task] = set()
-        self._times: deque[float] = deque(maxlen=_REMEMBERED)
+        self._load_times: deque[float] = deque(maxlen=_MAX_LOAD_TIMES)
 
     async def run(self) -> None:
         """
-        Look after the engines until cancelled.
+        Start loads until cancelled.
         """
         while True:
-            await asyncio.sleep(_LOOK)
+            await asyncio.sleep(_CHECK_INTERVAL)
             if self._lease.current(_ORDER_MARGIN) is None:
                 continue
-            self._begin_loads(boot_time())
+            self._start_loads(boot_time())
 
-    def _begin_loads(self, now: float) -> None:
+    def _start_loads(self, now: float) -> None:
         for service in self._view.pools():
             usable = self._view.directory.usable(service.name, now)
             engines = {engine.engine_id: engine for engine in usable}
-            loads = [row.load for row in self._loaded.rows() if row.load is not None]
-            under_way = [load for load in loads if load.engine.service == service.name]
-            free = engines_at_once(len(engines)) - len(under_way)
+            loads = [
+                row.load for row in self._engine_weights.rows() if row.load is not None
+            ]
+            in_progress = [
+                load for load in loads if load.engine.service == service.name
+            ]
+            free = engines_at_once(len(engines)) - len(in_progress)
             for name, model in wanted_loads(self._weights_of(service, engines)):
                 if free <= 0:
                     break
-                known = self._loaded[engines[name].incarnation]
-                if known.load is not None or known.paused_until > now:
+                weights = self._engine_weights[engines[name].incarnation]
+                if weights.load is not None or weights.paused_until > now:
                     continue
                 version = self._view.named_versions[model]
-                self._begin(_Load(engines[name], model, version))
+                self._start_load(_Load(engines[name], model, version))
                 free -= 1
 
     def _weights_of(
         self, service: GatewayService, engines: dict[str, EngineEntry]
     ) -> list[ModelWeights]:
         """
-        Return the models of a pool whose trainers have named versions, the one that
-        was named first in front.
+        Return the models of a pool for which trainers have named versions, in the
+        order in which they were first named.
         """
         models = sorted(service.models)
         named = self._view.named_versions
@@ -160,22 +164,24 @@
             if model in models
         ]
 
-    def _begin(self, load: _Load) -> None:
-        known = self._loaded[load.engine.incarnation]
-        known.load = load
-        task = asyncio.create_task(self._bring(load))
+    def _start_load(self, load: _Load) -> None:
+        weights = self._engine_weights[load.engine.incarnation]
+        weights.load = load
+        task = asyncio.create_task(self._run_load(load))
         self._tasks.add(task)
-        task.add_done_callback(lambda task: self._ended(known, load, task))
+        task.add_done_callback(lambda task: self._load_ended(weights, load, task))
 
     @property
-    def _usual_time(self) -> float | None:
+    def _shortest_load(self) -> float | None:
         """
-        What the quickest load of late took, in seconds, or none before any.
+        The shortest recent load, in seconds; None before any.
         """
-        return min(self._times, default=None)
+        return min(self._load_times, default=None)
 
-    def _ended(self, known: _Loaded, load: _Load, task: asyncio.Task) -> None:
-        known.load = None
+    def _load_ended(
+        self, weights: _EngineWeights, load: _Load, task: asyncio.Task
+    ) -> None:
+        weights.load = None
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             _log.error(
@@ -183,18 +189,18 @@
                 engine=load.engine.engine_id,
                 exc_info=task.exception(),
             )
-            self._pause(load)
+            self._pause_engine(load)
 
     def _version_of(self, engine: EngineEntry, model: str) -> int:
-        known = self._loaded[engine.incarnation]
-        if known.load is not None and known.load.model == model:
-            return known.load.version
-        return max(known.reached.get(model, 0), engine.versions.get(model, 0))
+        weights = self._engine_weights[engine.incarnation]
+        if weights.load is not None and weights.load.model == model:
+            return weights.load.version
+        return max(weights.reached.get(model, 0), engine.versions.get(model, 0))
 
-    async def _bring(self, load: _Load) -> None:
+    async def _run_load(self, load: _Load) -> None:
         try:
             async with self._lives.within(load.engine.incarnation):
-                await self._look_and_order(load)
+                await self._send_order_if_needed(load)
         except TimeoutError:
             _log.info(
                 "load_lost",
@@ -204,14 +210,14 @@
                 reason="the engine has started again",
             )
 
-    async def _look_and_order(self, load: _Load) -> None:
-        state = await self._state(load.engine)
+    async def _send_order_if_needed(self, load: _Load) -> None:
+        state = await self._request_state(load.engine)
         if state is None or state.busy:
-            self._pause(load)
-        elif not self._is_reached(load, state):
-            await self._order(load, state)
+            self._pause_engine(load)
+        elif not self._note_reached(load, state):
+            await self._send_order(load, state)
 
-    async def _order(self, load: _Load, state: EngineState) -> None:
+    async def _send_order(self, load: _Load, state: EngineState) -> None:
         held = self._lease.current(_ORDER_MARGIN)
         if held is None:
             return
@@ -237,31 +243,32 @@
         )
         match outcome:
             case OrderOutcome.FENCED:
-                self._lease.fenced(held.fence)
+                self._lease.note_fenced(held.fence)
             case OrderOutcome.TAKEN | OrderOutcome.UNKNOWN:
                 await self._await_load(load, began)
             case OrderOutcome.CONFLICT | OrderOutcome.REFUSED:
-                self._pause(load)
+                self._pause_engine(load)
 
     async def _await_load(self, load: _Load, began: float) -> None:
-        usual = self._usual_time
-        first = _FIRST_POLL_UNKNOWN if usual is None else _FIRST_POLL * usual
+        shortest = self._shortest_load
+        first = _FIRST_POLL_TIME if shortest is None else _FIRST_POLL_SHARE * shortest
         await asyncio.sleep(first)
-        while boot_time() < began + _LOAD_LIMIT:
-            state = await self._state(load.engine)
+        while boot_time() < began + _LOAD_TIMEOUT:
+            state = await self._request_state(load.engine)
             if state is not None:
-                if self._is_reached(load, state):
-                    self._times.append(boot_time() - began)
+                if self._note_reached(load, state):
+                    self._load_times.append(boot_time() - began)
                     return
                 if not state.busy:
-                    # The order was lost: the next look gives it again.
+                    # The order was lost; the next check of the engines repeats it.
                     return
-            await asyncio.sleep(_POLL)
-        self._pause(load)
+            await asyncio.sleep(_POLL_INTERVAL)
+        self._pause_engine(load)
 
-    async def _state(self, engine: EngineEntry) -> EngineState | None:
+    async def _request_state(self, engine: EngineEntry) -> EngineState | None:
         """
-        Ask an engine what it holds; what a later life says is not credited to this one.
+        Return an engine's report; None if there is none, or if it is from another
+        incarnation.
         """
         state = await self._engines.state(engine)
         if state is None or state.is_of(engine):
@@ -274,16 +281,16 @@
         )
         return None
 
-    def _pause(self, load: _Load) -> None:
-        known = self._loaded[load.engine.incarnation]
-        known.paused_until = boot_time() + _RETRY_PAUSE
+    def _pause_engine(self, load: _Load) -> None:
+        weights = self._engine_weights[load.engine.incarnation]
+        weights.paused_until = boot_time() + _RETRY_PAUSE
 
-    def _is_reached(self, load: _Load, state: EngineState) -> bool:
+    def _note_reached(self, load: _Load, state: EngineState) -> bool:
         now = state.versions.get(load.model, 0)
         if now < load.version or state.busy:
             return False
         engine = load.engine
-        self._loaded[engine.incarnation].reached[load.model] = now
+        self._engine_weights[engine.incarnation].reached[load.model] = now
         _log.info(
             "engine_reached", engine=engine.engine_id, model=load.model, version=now
         )
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -89,7 +89,7 @@
     Guard(
         "a holder that is not answered steps aside",
         f"{DAEMON}/duties/usage_reporter.py",
-        "await self._lease.step_aside()",
+        "await self._lease.back_off()",
         "pass",
         (DUTY, "leaves_the_duty"),
     ),
@@ -110,7 +110,7 @@
     Guard(
         "a node that steps aside leaves the duty to others for a while",
         f"{DAEMON}/duties/lease.py",
-        "return not self._released and boot_time() >= self._aside_until",
+        "return not self._released and boot_time() >= self._backoff_until",
         "return not self._released",
         ("tests/test_duty_lease.py", "steps_aside"),
     ),
--- a/tests/test_duty_lease.py
+++ b/tests/test_duty_lease.py
@@ -49,13 +49,13 @@
         first, second = _Node(log, "vm-1"), _Node(log, "vm-2")
         first.start()
         await _until(lambda: first.holds)
-        await first.duty.step_aside()
+        await first.duty.back_off()
         began = time.monotonic()
         assert not first.holds
         await _until(lambda: first.holds)
         assert time.monotonic() - began > 3 * _TERM - 0.05
         second.start()
-        await first.duty.step_aside()
+        await first.duty.back_off()
         began = time.monotonic()
         await _until(lambda: second.holds)
         assert time.monotonic() - began < _TERM
--- a/tests/test_usage_duty.py
+++ b/tests/test_usage_duty.py
@@ -42,11 +42,11 @@
             return None
         return HeldLease("usage", self.fence, boot_time() + 10.0)
 
-    def fenced(self, fence: int) -> None:
+    def note_fenced(self, fence: int) -> None:
         self.fenced_at.append(fence)
         self.fence = None
 
-    async def step_aside(self) -> None:
+    async def back_off(self) -> None:
         self.aside += 1
         self.fence = None
 
@@ -103,9 +103,9 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch):
-    monkeypatch.setattr(usage_reporter, "_LOOK", 0.02)
-    monkeypatch.setattr(usage_reporter, "_PAUSE", 0.02)
-    monkeypatch.setattr(usage_reporter, "_STEP_ASIDE_AFTER", 0.2)
+    monkeypatch.setattr(usage_reporter, "_CHECK_INTERVAL", 0.02)
+    monkeypatch.setattr(usage_reporter, "_RETRY_PAUSE", 0.02)
+    monkeypatch.setattr(usage_reporter, "_BACK_OFF_AFTER", 0.2)
     monkeypatch.setattr("saddledoord.duties.usage_counter._GATHER", 0.02)
 
 
