--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-One attempt at an item, before an engine that is a generator.
+Attempts at a job item, with an engine that makes events at a fixed pace.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 class _Engines:
     """
-    Engines that make events at a pace.
+    Engines that make a number of events at a fixed pace.
     """
 
     def __init__(self, events: int, gap: float) -> None:
@@ -39,7 +39,7 @@
 
 class _Placement:
     """
-    There is always room at another engine.
+    A placement that always offers another, faster engine.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         return make_engine_entry("fast")
 
 
-def _play(events: int, gap: float) -> ItemRun:
+def _run_attempt(events: int, gap: float) -> ItemRun:
     view = ClusterView()
     paces = EnginePaces(view.memory)
     paces.observe(Incarnation("fast"), 0.001, boot_time())
@@ -78,15 +78,15 @@
 
 def test_a_short_text_does_not_move_for_a_faster_engine():
     """
-    It would be made whole at once where it is.
+    A move would cost more than the rest of the text.
     """
-    assert _play(events=5, gap=0.02).text.last == 5
+    assert _run_attempt(events=5, gap=0.02).text.last == 5
 
 
 def test_a_long_text_moves_to_a_much_faster_engine():
     """
-    Once it has stayed for a quarter of a second.
+    The attempt ends as slow after the shortest stay at an engine.
     """
     with pytest.raises(GenerationFailedError) as caught:
-        _play(events=40, gap=0.02)
+        _run_attempt(events=40, gap=0.02)
     assert caught.value.outcome == GenerationFailedError.SLOW
--- a/tests/test_duty_lease.py
+++ b/tests/test_duty_lease.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The lease of a duty among nodes that share a log in memory.
+The lease of a duty, among nodes that share a log in memory.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 def test_a_node_that_steps_aside_lets_others_have_the_duty():
     """
-    At once, and for three terms also if nobody wants it.
+    Another node can claim it at once; this one does not claim it for three terms.
     """
 
     async def run() -> None:
@@ -59,7 +59,7 @@
         began = time.monotonic()
         await _until(lambda: second.holds)
         assert time.monotonic() - began < _TERM
-        # It is renewed, so the first one does not get it back.
+        # The second node renews it, so the first does not claim it again.
         await asyncio.sleep(4 * _TERM)
         assert (first.holds, second.holds) == (False, True)
 
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a node gives the log of an item's text.
+Which events of an item's text a node writes to the log.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 class _Writer:
     """
-    Keeps what it is given, and says that it is written when a test wants.
+    Collects records and texts; `finish` acknowledges all of them.
     """
 
     def __init__(self) -> None:
@@ -40,55 +40,55 @@
 def _run(events: int) -> ItemRun:
     job = make_job(1)
     run = ItemRun.begin(make_job_state(job), job.items[0])
-    _grow(run, events)
+    _add_events(run, events)
     return run
 
 
-def _grow(run: ItemRun, events: int) -> None:
+def _add_events(run: ItemRun, events: int) -> None:
     for number in range(run.text.last + 1, run.text.last + events + 1):
         assert run.text.take(GeneratedEvent(number, f"e{number}", 1), 1)
 
 
-def _hold(run: ItemRun, record: ItemKept) -> None:
+def _record_checkpoint(run: ItemRun, record: ItemKept) -> None:
     kept = KeptParts(record.count, record.versions, record.chain, (record.text,))
     run.state.kept[run.item.item_id] = kept
 
 
-def test_only_new_events_are_given_while_the_log_holds_this_run_s():
+def test_only_new_events_are_written_while_the_log_holds_those_of_this_run():
     """
-    Each event once.
+    Guards against an event that is written twice.
     """
     run, writer = _run(3), _Writer()
     run.keep(writer)
-    _hold(run, writer.records[0])
+    _record_checkpoint(run, writer.records[0])
     writer.finish()
-    _grow(run, 2)
+    _add_events(run, 2)
     run.keep(writer)
     assert [(r.first, r.count) for r in writer.records] == [(1, 3), (4, 2)]
     assert writer.records[1].follows == writer.records[0].chain
 
 
-def test_the_whole_text_is_given_once_the_log_holds_another_run_s():
+def test_the_whole_text_is_written_once_the_log_holds_another_run_s():
     """
-    That one's last events came after this run had begun.
+    Guards against a gap when the previous owner's last events arrive late.
     """
     run, writer = _run(3), _Writer()
     run.keep(writer)
     writer.finish()
     run.state.kept[run.item.item_id] = KeptParts(2, (1,), "another", ())
-    _grow(run, 2)
+    _add_events(run, 2)
     run.keep(writer)
     record = writer.records[1]
     assert (record.first, record.count, record.follows) == (1, 5, "")
     assert decode_events(writer.texts[1]) == ("e1", "e2", "e3", "e4", "e5")
 
 
-def test_what_is_on_its_way_counts_as_given():
+def test_events_in_flight_are_not_written_again():
     """
-    An item that is dropped then gives the rest, not everything again.
+    Guards against a repeated write of events whose append is in flight.
     """
     run, writer = _run(3), _Writer()
     run.keep(writer)
-    _grow(run, 2)
+    _add_events(run, 2)
     run.keep(writer)
     assert [(r.first, r.count) for r in writer.records] == [(1, 3), (4, 2)]
--- a/tests/test_job_items.py
+++ b/tests/test_job_items.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Items of jobs, which only the nodes that need them read.
+The items of a job are read only by the nodes that need them.
 """
 
 from __future__ import annotations
@@ -23,23 +23,26 @@
 from saddledoord.ports import UnknownAppend
 
 
-#: Items of a step, a count, and bytes of each one's body.
+#: Number of items of a job.
 _ITEMS = 136
+#: Size of the body of each item, in bytes.
 _BODY = 500
 
 
-def _no() -> bool:
+def _false() -> bool:
     return False
 
 
 class _Node:
     """
-    A node that only answers callers.
+    A node that answers callers and runs no items.
     """
 
     def __init__(self, log: FakeLog) -> None:
         texts = TextStore(log, largest_record=1000, largest_append=4000)
-        self.jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+        self.jobs = JobService(
+            log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false
+        )
 
     @asynccontextmanager
     async def running(self):
@@ -51,9 +54,9 @@
             await asyncio.gather(task, return_exceptions=True)
 
 
-class _NoTexts(FakeLog):
+class _LogWithoutTexts(FakeLog):
     """
-    A log whose stream of texts takes nothing.
+    A log that accepts no append to the stream of texts.
     """
 
     async def append(self, stream, records, patience=1.5):
@@ -70,18 +73,17 @@
 
 def test_what_every_node_reads_of_a_job_does_not_grow_with_its_items():
     """
-    A job of 136 items with bodies of 500 bytes costs each node 126 bytes, and 73,152
-    where its items stand among the records.
+    Guards against items in the records that every node reads.
     """
     log = FakeLog()
 
-    async def play():
+    async def run_scenario():
         async with _Node(log).running() as jobs:
             assert await jobs.submit(_large_job()) == Accepted()
         async with _Node(log).running() as other:
             assert await other.read("job-a", 0, 0.0) == JobReading(_ITEMS, 0, ())
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
     assert sum(map(len, log.records["jobs"])) < 150
     assert sum(map(len, log.records["texts"])) > _ITEMS * _BODY
     assert log.reads["texts"] == 0
@@ -89,11 +91,11 @@
 
 def test_a_node_that_is_asked_for_an_item_reads_the_job_s_items_once():
     """
-    Cut into many records, and put together again.
+    The items are split into several records and joined again.
     """
     log = FakeLog()
 
-    async def play():
+    async def run_scenario():
         async with _Node(log).running() as jobs:
             await jobs.submit(_large_job())
         async with _Node(log).running() as other:
@@ -102,34 +104,34 @@
             assert await other.body("job-a", "item-0") == bytes(_BODY)
             assert log.reads["texts"] == reads
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_a_job_whose_items_cannot_be_stored_is_not_run(monkeypatch):
     """
-    The submitter is told so in time to ask another node, and no node hears of the job.
+    The caller gets the refusal in time to try another node, and no node sees the job.
     """
     monkeypatch.setattr(service_module, "_APPEND_RETRY_LIMIT", 0.3)
-    log = _NoTexts()
+    log = _LogWithoutTexts()
 
-    async def play():
+    async def run_scenario():
         async with _Node(log).running() as jobs:
             began = boot_time()
             outcome = await jobs.submit(_large_job())
             assert isinstance(outcome, NotRun)
             assert boot_time() - began < 0.6
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
     assert log.records["jobs"] == []
 
 
 def test_items_that_cannot_be_read_are_read_again():
     """
-    Once at a time, however often they are wanted.
+    Repeated requests for the same job share one read.
     """
     log = FakeLog()
 
-    async def play():
+    async def run_scenario():
         async with _Node(log).running() as jobs:
             await jobs.submit(_large_job())
         async with _Node(log).running() as other:
@@ -149,4 +151,4 @@
             await asyncio.wait_for(tried.wait(), 2.0)
             assert len(list(state.unlisted())) == _ITEMS
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
--- a/tests/test_known_ends.py
+++ b/tests/test_known_ends.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-When work of a job may still be sent, by what is known of the jobs that have ended.
+Work is sent only while the node's read of the jobs' log is fresh.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 _NEVER = float("-inf")
 
 
-def _known(age: float, reached: bool = True, awake_for: float | None = None):
-    awake_since = _NEVER if awake_for is None else _NOW - awake_for
+def _make_freshness(age: float, reached: bool = True, resumed_for: float | None = None):
+    awake_since = _NEVER if resumed_for is None else _NOW - resumed_for
     view = LogView(_NOW - age, reached, awake_since)
     return KnownEnds(lambda: view, cancel_time=3.0)
 
@@ -31,23 +31,28 @@
         (6.1, False, False, True),
     ],
 )
-def test_work_is_sent_while_the_log_s_end_is_known(age, reached, may_start, may_score):
+def test_work_is_sent_while_the_read_of_the_log_is_fresh(
+    age, reached, may_start, may_score
+):
     """
-    Longer while the store is away: nobody can end a job then.
+    The limit is longer while the store is unreachable, since no job can end then.
     """
-    known = _known(age, reached)
-    assert (known.may_start(_NOW), known.may_score(_NOW)) == (may_start, may_score)
+    freshness = _make_freshness(age, reached)
+    assert (freshness.may_start(_NOW), freshness.may_score(_NOW)) == (
+        may_start,
+        may_score,
+    )
 
 
 @pytest.mark.parametrize("reached", [True, False])
-def test_what_was_known_before_a_standstill_does_not_count(reached):
+def test_a_read_before_a_process_pause_is_not_fresh(reached):
     """
-    However short it was: another node may have told of an end meanwhile.
+    Another node may have ended a job during the process pause.
     """
-    known = _known(age=0.7, reached=reached, awake_for=0.1)
-    assert not known.may_start(_NOW)
-    assert not known.may_score(_NOW)
-    assert _known(age=0.7, reached=reached, awake_for=0.8).may_start(_NOW)
+    freshness = _make_freshness(age=0.7, reached=reached, resumed_for=0.1)
+    assert not freshness.may_start(_NOW)
+    assert not freshness.may_score(_NOW)
+    assert _make_freshness(age=0.7, reached=reached, resumed_for=0.8).may_start(_NOW)
 
 
 class _Clock:
@@ -58,9 +63,9 @@
         return self.now
 
 
-def test_a_standstill_is_noticed_before_any_timer_fires():
+def test_a_process_pause_is_detected_before_any_timer_fires():
     """
-    Whichever task goes on first asks about it.
+    The first task that runs after the pause already sees it.
     """
     clock = _Clock()
     standstills = Standstills(clock)
@@ -71,9 +76,9 @@
     assert (standstills.ended_at, standstills.count) == (_NOW + 4.0, 1)
 
 
-def test_a_busy_loop_has_not_stood_still():
+def test_a_busy_event_loop_is_not_a_process_pause():
     """
-    Its beats come late, but they come.
+    Late timers alone do not count as a process pause.
     """
     clock = _Clock()
     standstills = Standstills(clock)
@@ -82,9 +87,9 @@
         assert standstills.count == 0
 
 
-def test_what_is_read_right_after_a_standstill_may_have_waited_for_all_of_it():
+def test_a_read_right_after_a_process_pause_may_be_delayed_by_all_of_it():
     """
-    Later than that it has come since.
+    Only reads soon after the process pause count as delayed by it.
     """
     clock = _Clock()
     standstills = Standstills(clock)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which engine an item goes to.
+The choice of an engine for a job item.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 ROUTE = make_route("/train/")
 
 
-class _Bed:
+class _Setup:
     """
-    Four engines of one model, at the versions that a test says.
+    A placement and its engines, which serve one model at given weight versions.
     """
 
     def __init__(self, versions: list[int], oldest: int = 1) -> None:
@@ -69,24 +69,24 @@
 
 def test_the_fastest_engine_with_room_is_chosen():
     """
-    Of those whose pace is known; one that is unknown counts as fast.
+    The next fastest is chosen if that one is excluded.
     """
-    bed = _Bed([1, 1, 1, 1])
+    setup = _Setup([1, 1, 1, 1])
     for index, gap in enumerate([0.08, 0.04, 0.08, 0.08]):
-        bed.pace(f"e-{index}", gap)
-    assert bed.chosen() == "e-1"
-    assert bed.chosen("e-1") == "e-0"
+        setup.pace(f"e-{index}", gap)
+    assert setup.chosen() == "e-1"
+    assert setup.chosen("e-1") == "e-0"
 
 
 def test_an_engine_whose_weights_are_too_old_is_left_out():
     """
-    As far as this node has heard or seen.
+    A version that this node saw in an event counts before the engine's entry has it.
     """
-    bed = _Bed([1, 2], oldest=2)
-    assert bed.chosen() == "e-1"
-    assert bed.chosen("e-1") is None
-    bed.placement.saw(make_engine_entry("e-0"), "model-a", 2)
-    assert bed.chosen("e-1") == "e-0"
+    setup = _Setup([1, 2], oldest=2)
+    assert setup.chosen() == "e-1"
+    assert setup.chosen("e-1") is None
+    setup.placement.saw(make_engine_entry("e-0"), "model-a", 2)
+    assert setup.chosen("e-1") == "e-0"
 
 
 @pytest.mark.parametrize(
@@ -94,73 +94,73 @@
 )
 def test_an_item_moves_to_an_engine_that_is_much_faster(other, moves):
     """
-    And stays where it is for a pace that differs by little, or is not known.
+    It does not move if the other pace is similar or unknown.
     """
-    bed = _Bed([1, 1])
-    bed.pace("e-0", 0.2)
+    setup = _Setup([1, 1])
+    setup.pace("e-0", 0.2)
     if other is not None:
-        bed.pace("e-1", other)
-    faster = bed.placement.find_faster(bed.run, make_engine_entry("e-0"))
+        setup.pace("e-1", other)
+    faster = setup.placement.find_faster(setup.run, make_engine_entry("e-0"))
     assert (faster is not None) == moves
 
 
 def test_an_engine_that_has_gone_silent_is_left_out():
     """
-    Until it has answered a report.
+    It is eligible again once it has answered a report.
     """
-    bed = _Bed([1, 1])
-    bed.silent.add(Incarnation("e-0"))
-    assert bed.chosen() == "e-1"
-    assert bed.chosen("e-1") is None
-    bed.silent.clear()
-    assert bed.chosen("e-1") == "e-0"
+    setup = _Setup([1, 1])
+    setup.silent.add(Incarnation("e-0"))
+    assert setup.chosen() == "e-1"
+    assert setup.chosen("e-1") is None
+    setup.silent.clear()
+    assert setup.chosen("e-1") == "e-0"
 
 
 def test_an_engine_whose_streams_have_stopped_gets_no_item(monkeypatch):
     """
-    It may have gone silent at the same moment as the one that an item leaves.
+    It may have failed together with the engine that an item leaves.
     """
-    bed = _Bed([1, 1])
+    setup = _Setup([1, 1])
     engine = make_engine_entry("e-0")
     now = boot_time()
-    bed.placement.take(bed.run, engine)
-    bed.run.times.enter(ItemPhase.EVENTS, now)
-    bed.paces.observe(engine.incarnation, None, now)
-    other = bed.item()
+    setup.placement.take(setup.run, engine)
+    setup.run.times.enter(ItemPhase.EVENTS, now)
+    setup.paces.observe(engine.incarnation, None, now)
+    other = setup.item()
     clock = "saddledoord.jobs.placement.boot_time"
     monkeypatch.setattr(clock, lambda: now + 0.1)
-    assert bed.placement.choose(other, ROUTE, {Incarnation("e-1")}) is not None
+    assert setup.placement.choose(other, ROUTE, {Incarnation("e-1")}) is not None
     monkeypatch.setattr(clock, lambda: now + 0.2)
-    assert bed.placement.choose(other, ROUTE, {Incarnation("e-1")}) is None
+    assert setup.placement.choose(other, ROUTE, {Incarnation("e-1")}) is None
 
 
 def test_long_texts_start_before_short_ones_of_the_same_age():
     """
-    And an old job's before those of a new one.
+    Texts of an old job start before those of the same length of a new one.
     """
-    bed = _Bed([1])
-    short, long = bed.item(expected_tokens=500), bed.item(expected_tokens=9000)
-    later = bed.item(expected_tokens=500, known_since=1.0)
-    order = sorted([later, short, long], key=bed.placement.latest_start)
+    setup = _Setup([1])
+    short, long = setup.item(expected_tokens=500), setup.item(expected_tokens=9000)
+    later = setup.item(expected_tokens=500, known_since=1.0)
+    order = sorted([later, short, long], key=setup.placement.latest_start)
     assert order == [long, short, later]
 
 
-def test_a_place_counts_until_it_is_given_back():
+def test_a_place_is_reserved_until_it_is_released():
     """
-    Once only, also if it is given back twice.
+    A second release has no effect.
     """
-    bed = _Bed([1, 1])
-    first = bed.chosen()
-    place = bed.placement.take(bed.run, make_engine_entry(first))
-    assert bed.chosen() != first
+    setup = _Setup([1, 1])
+    first = setup.chosen()
+    place = setup.placement.take(setup.run, make_engine_entry(first))
+    assert setup.chosen() != first
     place.release()
     place.release()
-    assert bed.chosen() == first
+    assert setup.chosen() == first
 
 
-def test_a_pause_says_nothing_of_an_engine_s_pace():
+def test_a_pause_does_not_change_an_engine_s_pace():
     """
-    Weights that load under a stream hold it up for 0.9 s.
+    A stream pauses while its engine loads weights.
     """
     paces, engine = EnginePaces(EngineMemory()), Incarnation("e-1")
     paces.observe(engine, 0.04, 10.0)
--- a/tests/test_spread_texts.py
+++ b/tests/test_spread_texts.py
@@ -1,17 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Reading jobs whose texts stand far apart, among those of other trainers.
+Reads of jobs whose texts are spread over more pages than one call can read.
 
-The story: two jobs were accepted, ran for seven to eight seconds, were ended, and could
-not be read when the day was over, however often and wherever they were asked for; other
-jobs could. Four trainers share one stream of texts, so the texts of a job that ran long
-are spread over megabytes. A node read all of them, page after page, before it answered;
-the caller left first, and the next node began at the first page again.
-
-The evidence, from the record of a day of the same kind: a node had 3,003 KB of pages in
-one second and 912 KB in the next, sent 7 KB in both, and logged that its callers left;
-two more did the same. They took no more than 4 % of a processor.
+Guards against a node that reads all pages before it answers: each caller would time
+out, and the next node would start at the first page again.
 """
 
 from __future__ import annotations
@@ -37,27 +30,29 @@
 from saddledoord.ports import StoreAwayError
 
 
-#: What a node's link brings of pages, in bytes a second; it is the record's figure.
-_LINK = 3_000_000
-#: How long a caller that allows no wait has patience for the answer, in seconds.
-_CALLER_LIMIT = 1.5
-#: Items of the job and bytes of each text, and bytes that other trainers' jobs write
-#: meanwhile: four trainers write 0.6 MB a second, and the job runs for ten seconds.
+#: Bandwidth of a node's link to the store, in bytes per second.
+_BANDWIDTH = 3_000_000
+#: Timeout of a caller, in seconds.
+_CALLER_TIMEOUT = 1.5
+#: Number of items of a job.
 _ITEMS = 80
+#: Size of each text, in bytes.
 _TEXT = 6_500
-_BETWEEN = 70_000
+#: Size of the texts of other jobs between two of these, in bytes.
+_GAP = 70_000
+#: Largest record of the log, in bytes.
 _LARGEST = 262_144
 
 
-def _no() -> bool:
+def _false() -> bool:
     return False
 
 
-class _Link(FakeLog):
+class _SlowLink(FakeLog):
     """
-    What one node sees of a log: each page takes its time, one after the other.
+    A log behind a link of limited bandwidth, which transfers one page at a time.
 
-    :param fail_after: Pages of texts that come before reads of them fail, a count.
+    :param fail_after: Number of pages of texts after which their reads fail.
     """
 
     def __init__(self, log: FakeLog, fail_after: int = 1000) -> None:
@@ -73,17 +68,17 @@
             if self._left < 0:
                 raise StoreAwayError("too slow")
             async with self._sending:
-                await asyncio.sleep(sum(map(len, page.records)) / _LINK)
+                await asyncio.sleep(sum(map(len, page.records)) / _BANDWIDTH)
         return page
 
 
 @asynccontextmanager
 async def _node(log: FakeLog):
     """
-    Run a node that holds none of the texts.
+    Run a node with an empty cache of texts.
     """
     texts = TextStore(log, largest_record=_LARGEST, largest_append=8 * _LARGEST)
-    jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+    jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false)
     task = asyncio.create_task(jobs.run())
     await jobs.sync()
     try:
@@ -95,14 +90,14 @@
 
 def _ended_jobs(*names: str) -> FakeLog:
     """
-    Return a log that holds jobs, each spread over 6.1 MB of texts.
+    Return a log with ended jobs whose texts are spread among others.
     """
     log = FakeLog(largest_record=_LARGEST)
     for name in names:
         records = [make_opened(make_job(_ITEMS, name))]
         for n in range(_ITEMS):
             place = len(log.records["texts"])
-            log.records["texts"] += [_text(n).encode(), bytes(_BETWEEN)]
+            log.records["texts"] += [_text(n).encode(), bytes(_GAP)]
             result = ItemResult(f"item-{n}", True, StoredText((place,), _TEXT))
             records.append(ItemListed(name, result))
         records.append(JobEnded(name))
@@ -114,27 +109,27 @@
     return f"{n:05}" * (_TEXT // 5)
 
 
-async def _ask(
+async def _read_page(
     jobs: JobService, position: int, job_id: str = "job-a"
 ) -> JobReading | None:
     """
-    Read as a caller does, who leaves when it has waited long enough.
+    Read a page of results; None if the call times out or is refused.
     """
     try:
-        async with asyncio.timeout(_CALLER_LIMIT):
+        async with asyncio.timeout(_CALLER_TIMEOUT):
             reading = await jobs.read(job_id, position, 0.0)
     except TimeoutError:
         return None
     return reading if isinstance(reading, JobReading) else None
 
 
-async def _read_whole(ask, most_asks: int) -> list[str]:
+async def _read_whole(read_page, max_calls: int) -> list[str]:
     """
-    Read on from where the last answer ended, and again after none.
+    Read page after page; repeat a call without an answer.
     """
     texts: list[str] = []
-    for _ in range(most_asks):
-        reading = await ask(len(texts))
+    for _ in range(max_calls):
+        reading = await read_page(len(texts))
         if reading is None:
             continue
         texts += [result.text for result in reading.results]
@@ -147,98 +142,97 @@
 @pytest.mark.parametrize("one_node", [True, False])
 def test_a_job_whose_texts_are_spread_is_read_in_parts(one_node):
     """
-    In six asks; it was never read by a caller that goes to another node each time. One
-    that stays may be lucky: its node remembers 2 MB of what it read in vain.
+    A caller gets the whole job in a few calls, also if each goes to another node.
     """
     log = _ended_jobs("job-a")
 
-    async def play():
-        async with _node(_Link(log)) as same:
+    async def run_scenario():
+        async with _node(_SlowLink(log)) as same:
 
-            async def ask(position):
+            async def read_page(position):
                 if one_node:
-                    return await _ask(same, position)
-                async with _node(_Link(log)) as another:
-                    return await _ask(another, position)
+                    return await _read_page(same, position)
+                async with _node(_SlowLink(log)) as another:
+                    return await _read_page(another, position)
 
-            return await _read_whole(ask, most_asks=6)
+            return await _read_whole(read_page, max_calls=6)
 
-    assert asyncio.run(play()) == [_text(n) for n in range(_ITEMS)]
+    assert asyncio.run(run_scenario()) == [_text(n) for n in range(_ITEMS)]
 
 
 def test_two_spread_jobs_are_read_at_one_node_at_once():
     """
-    In four asks each. Each reader drove the other's pages out of the node's memory, and
-    neither had anything in 19 asks and 30 s.
+    Guards against readers that evict each other's pages from the cache.
     """
     names = ("job-a", "job-b")
     log = _ended_jobs(*names)
 
-    async def play():
-        async with _node(_Link(log)) as jobs:
+    async def run_scenario():
+        async with _node(_SlowLink(log)) as jobs:
             readers = (
-                _read_whole(lambda at, name=name: _ask(jobs, at, name), most_asks=6)
+                _read_whole(
+                    lambda at, name=name: _read_page(jobs, at, name), max_calls=6
+                )
                 for name in names
             )
             return await asyncio.gather(*readers)
 
-    assert asyncio.run(play()) == [[_text(n) for n in range(_ITEMS)]] * 2
+    assert asyncio.run(run_scenario()) == [[_text(n) for n in range(_ITEMS)]] * 2
 
 
 def test_what_was_read_before_a_page_failed_is_answered():
     """
-    Otherwise one page in twenty that does not come keeps the whole job from its reader.
+    Guards against one failed page that makes the whole job unreadable.
     """
     log = _ended_jobs("job-a")
 
-    async def play():
-        async with _node(_Link(log, fail_after=2)) as jobs:
-            return await _ask(jobs, 0)
+    async def run_scenario():
+        async with _node(_SlowLink(log, fail_after=2)) as jobs:
+            return await _read_page(jobs, 0)
 
-    reading = asyncio.run(play())
+    reading = asyncio.run(run_scenario())
     assert reading is not None
     assert [result.text for result in reading.results] == [_text(n) for n in range(8)]
     assert reading.next_position == 8
 
 
-def test_a_job_none_of_whose_texts_comes_is_not_answered_as_empty():
+def test_a_job_whose_texts_cannot_be_read_is_not_answered_as_empty():
     """
-    The node says that it is not sure.
+    The node answers that the caller should retry.
     """
     log = _ended_jobs("job-a")
 
-    async def play():
-        async with _node(_Link(log, fail_after=0)) as jobs:
+    async def run_scenario():
+        async with _node(_SlowLink(log, fail_after=0)) as jobs:
             return await jobs.read("job-a", 0, 0.0)
 
-    assert isinstance(asyncio.run(play()), Unsure)
+    assert isinstance(asyncio.run(run_scenario()), Unsure)
 
 
-class _NarrowLog(FakeLog):
+class _SmallPageLog(FakeLog):
     """
-    A log that answers no read of texts for more than so many bytes in time.
+    A log whose reads of texts time out for pages above a size, in bytes.
     """
 
-    def __init__(self, log: FakeLog, room: int) -> None:
+    def __init__(self, log: FakeLog, max_page: int) -> None:
         super().__init__(largest_record=_LARGEST)
         self.records = log.records
-        self._room = room
+        self._max_page = max_page
 
     async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        if stream == "texts" and largest > self._room:
+        if stream == "texts" and largest > self._max_page:
             raise StoreAwayError("too slow")
         return await super().read(stream, start, wait, largest, patience)
 
 
-def test_texts_are_asked_for_in_smaller_pages_after_one_that_did_not_come():
+def test_texts_are_read_in_smaller_pages_after_a_timeout():
     """
-    A link that brings less than a page in a page's patience never brought any. Now an
-    ask ends when the page has grown too large again, and all is there after 15 of them.
+    Guards against a slow link on which every page of the full size times out.
     """
     log = _ended_jobs("job-a")
 
-    async def play():
-        async with _node(_NarrowLog(log, room=100_000)) as jobs:
-            return await _read_whole(lambda at: _ask(jobs, at), most_asks=20)
+    async def run_scenario():
+        async with _node(_SmallPageLog(log, max_page=100_000)) as jobs:
+            return await _read_whole(lambda at: _read_page(jobs, at), max_calls=20)
 
-    assert asyncio.run(play()) == [_text(n) for n in range(_ITEMS)]
+    assert asyncio.run(run_scenario()) == [_text(n) for n in range(_ITEMS)]
--- a/tests/test_usage_duty.py
+++ b/tests/test_usage_duty.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-Usage is reported once a window, with the same counts whoever reports it.
+Usage is reported for each window with the same counts, whichever node reports it.
 
-Nodes share a log in memory; the platform is one that keeps every call that it got.
+Nodes share a log in memory; the stand-in of the platform records every call.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from saddledoord.ports import DutyOutcome, UsageReport
 
 
-#: Short ones: a window is decided 0.4 s after its end.
+#: Windows of 0.4 s, whose reports are due 0.8 s after their end.
 _WINDOWS = UsageWindows(0.4, 0.8)
 
 
 @dataclass
 class _Lease:
     """
-    A lease that a test gives and takes.
+    A lease that a test grants by setting its fencing number.
     """
 
     fence: int | None = None
     fenced_at: list[int] = field(default_factory=list)
-    aside: int = 0
+    backoffs: int = 0
 
     def current(self, margin: float) -> HeldLease | None:
         if self.fence is None:
@@ -47,13 +47,13 @@
         self.fence = None
 
     async def back_off(self) -> None:
-        self.aside += 1
+        self.backoffs += 1
         self.fence = None
 
 
 class _Platform:
     """
-    Keeps every report, and answers as a function says.
+    Records every report, and answers with the result of a function.
     """
 
     def __init__(self, answer: Callable[[UsageReport], str] | None = None) -> None:
@@ -67,7 +67,7 @@
 
     def counts(self) -> dict[int, list[dict]]:
         """
-        Return the different counts that came for each window.
+        Return the distinct counts reported for each window.
         """
         found: dict[int, list[dict]] = {}
         for report in self.reports:
@@ -102,7 +102,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _quick(monkeypatch):
+def _short_intervals(monkeypatch):
     monkeypatch.setattr(usage_reporter, "_CHECK_INTERVAL", 0.02)
     monkeypatch.setattr(usage_reporter, "_RETRY_PAUSE", 0.02)
     monkeypatch.setattr(usage_reporter, "_BACK_OFF_AFTER", 0.2)
@@ -122,8 +122,8 @@
 
 def test_a_report_waits_only_for_nodes_that_may_be_cut_off():
     """
-    While all speak it comes early, so that it gets through before most outages; one
-    that falls silent is waited for, and not for ever.
+    It is early while all nodes write their counts, and waits a limited time for a node
+    that has stopped.
     """
 
     async def run() -> None:
@@ -133,16 +133,16 @@
         nodes = [_Node(f"vm-{n}", log, platform, windows) for n in range(2)]
         late: dict[int, float] = {}
 
-        async def report(told: UsageReport) -> str:
-            end = (told.window + 1) * windows.length
-            late.setdefault(told.window, nodes[0].counter.now - end)
+        async def report(usage: UsageReport) -> str:
+            end = (usage.window + 1) * windows.length
+            late.setdefault(usage.window, nodes[0].counter.now - end)
             return DutyOutcome.DONE
 
         platform.report_usage = report
         for node in nodes:
             node.start()
         nodes[0].lease.fence = 1
-        # All may speak 0.6 s after a window's end, and are waited for until 1.8 s.
+        # Nodes close a window 0.6 s after its end; the reporter waits until 1.8 s.
         await _until(lambda: late and late[max(late)] < 1.2)
         nodes[1].kill()
         silent_from = windows.of(nodes[0].counter.now)
@@ -156,7 +156,7 @@
 
 def test_what_all_nodes_counted_is_reported_by_one():
     """
-    A window's report holds the requests of every node.
+    The report of a window has the requests of every node.
     """
 
     async def run() -> None:
@@ -170,7 +170,7 @@
         nodes[1].lease.fence = 5
         await _until(lambda: window in platform.counts())
         if {"red": 3, "blue": 1} not in platform.counts()[window]:
-            # The four were counted around the end of a window.
+            # The window ended between the four counts.
             await _until(lambda: window + 1 in platform.counts())
         total = [r.counts.get("red", 0) for r in platform.reports]
         assert sum(total) == 3
@@ -181,7 +181,7 @@
 
 def test_the_next_holder_reports_exactly_what_was_decided():
     """
-    The first one's call had no answer, and counts came late; nothing differs.
+    Counts that arrive after the decision do not change a repeated report.
     """
 
     async def run() -> None:
@@ -204,9 +204,9 @@
     asyncio.run(run())
 
 
-def test_two_that_both_believe_to_hold_the_duty_report_the_same():
+def test_two_nodes_that_believe_to_hold_the_lease_report_the_same():
     """
-    Each decides in the log, and sends what stands there first.
+    Each sends the first decision in the log.
     """
 
     async def run() -> None:
@@ -229,7 +229,7 @@
 
 def test_nothing_is_reported_that_the_log_does_not_hold():
     """
-    Without the store nobody knows what was decided; afterwards all is made up for.
+    No report is sent while the store is unreachable; the missing ones follow later.
     """
 
     async def run() -> None:
@@ -249,7 +249,7 @@
 
 def test_a_holder_that_is_not_answered_leaves_the_duty_to_others():
     """
-    It may be cut off from the platform while the store hears it.
+    It may reach the store but not the platform.
     """
 
     async def run() -> None:
@@ -257,7 +257,7 @@
         _, (node,) = _nodes(platform, 1)
         node.start()
         node.lease.fence = 1
-        await _until(lambda: node.lease.aside)
+        await _until(lambda: node.lease.backoffs)
         assert 2 <= len(platform.reports) < 30
         sent = len(platform.reports)
         await asyncio.sleep(0.3)
@@ -266,9 +266,9 @@
     asyncio.run(run())
 
 
-def test_a_holder_that_is_fenced_calls_no_more():
+def test_a_fenced_holder_sends_no_more_calls():
     """
-    The platform has heard of a later one.
+    The platform has seen a higher fencing number.
     """
 
     async def run() -> None:
