--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -32,7 +32,7 @@
         ("tests/adapter/test_edge_unreached_engines.py", "did_not_reach"),
     ),
     Guard(
-        "a barred item reaches no engine",
+        "a quarantined item reaches no engine",
         f"{DAEMON}/jobs/runner.py",
         """                self._log_quarantined(run)
                 continue
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -78,7 +78,7 @@
         (LIVES, "repeated_at_once or answer_at_once or leaves_an_engine"),
     ),
     Guard(
-        "a report of another life is credited to nobody",
+        "a report of another incarnation is ignored",
         f"{DAEMON}/orders/weights.py",
         "if state is None or state.is_of(engine):",
         "if True:",
