--- a/packages/saddledoord/src/saddledoord/filters/attempt.py
+++ b/packages/saddledoord/src/saddledoord/filters/attempt.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Attempt: run a completion at an engine, and resume it elsewhere when it breaks off.
+Attempt: run a completion at an engine, and resume it at another one if it fails.
 """
 
 from __future__ import annotations
@@ -28,20 +28,23 @@
 
 __all__ = ["CompletionJob", "attempt_completion"]
 
-#: Longest silence of an engine within a stream, in seconds.
+#: Longest silence within an engine's stream, in seconds.
 _SILENCE = 5.0
-#: Engines that are tried for one completion, a count.
+#: Most engines that are tried for one completion.
 _MAX_ATTEMPTS = 6
 
 
 @dataclass(frozen=True)
 class CompletionJob:
     """
-    A completion on its way to an engine.
-
-    :param attempt_id: Unique name of this try to serve the request.
-    :param min_version: Oldest weight version that will do, or -1.
-    :param deadline: When waiting for a slot is over, in the daemon's seconds.
+    A completion to run at an engine.
+
+    :param attempt_id: Unique id of this attempt to serve the request.
+    :param weight: Share of the slots of saturated backend servers, relative to others.
+    :param max_tokens: Length of the answer, in tokens.
+    :param deadline: When to stop waiting for a slot, monotonic, in seconds.
+    :param min_version: Oldest weight version allowed; -1 allows all.
+    :param local_only: Whether only engines of this data centre may run it.
     """
 
     attempt_id: str
@@ -65,7 +68,7 @@
     metrics: Metrics,
 ) -> AsyncIterator[Part | NotRun | OutcomeUnknown]:
     """
-    Yield the parts of one whole answer, or parts and then why it is not whole.
+    Yield the parts of one complete answer, or parts followed by the failure.
     """
     attempts = Attempts(_MAX_ATTEMPTS, False, ResultCode.ANSWER_CUT)
     answer = AnswerBuilder(job.max_tokens)
@@ -99,7 +102,7 @@
 ) -> Grant | NotRun:
     grant = await dispatcher.acquire(_wanted(job, attempts, answer))
     if isinstance(grant, NotRun) and attempts.avoid:
-        # Every other engine failed it too: one that failed before may be back.
+        # No other engine is available; those that failed may have recovered.
         attempts.avoid.clear()
         grant = await dispatcher.acquire(_wanted(job, attempts, answer))
     return grant
@@ -130,7 +133,7 @@
     except CompletionBrokenError as error:
         attempts.failed(grant.name, error.handed_over, str(error))
         return
-    # The last part goes on only with the end marker behind it.
+    # The last part is passed on only after the end marker.
     yield last
 
 
--- a/packages/saddledoord/src/saddledoord/filters/call.py
+++ b/packages/saddledoord/src/saddledoord/filters/call.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Attempt for plain services: hand a call over, again only where that is safe.
+Attempt for plain services: send a call to an instance, and retry only if safe.
 """
 
 from __future__ import annotations
@@ -26,18 +26,20 @@
 
 __all__ = ["ServiceJob", "attempt_call"]
 
-#: Instances that are tried for one call, a count.
+#: Most instances that are tried for one call.
 _MAX_ATTEMPTS = 3
 
 
 @dataclass(frozen=True)
 class ServiceJob:
     """
-    A call on its way to a plain service.
+    A call to send to a plain service.
 
+    :param weight: Share of the slots of saturated backend servers, relative to others.
     :param target: Path and query.
-    :param key: The caller's idempotency key, or empty.
-    :param deadline: When the caller gives up, in the daemon's seconds.
+    :param unrepeatable: Whether it may run at most once.
+    :param key: The caller's idempotency key; empty if there is none.
+    :param deadline: When the caller times out, monotonic, in seconds.
     """
 
     request_id: str
@@ -53,9 +55,10 @@
     deadline: float
 
     @property
-    def once(self) -> str:
+    def at_most_once_id(self) -> str:
         """
-        What may run only once: the key, or the request itself if it has none.
+        Identifies what may run at most once: the key, or the request without one;
+        empty for a repeatable call.
         """
         if not self.unrepeatable:
             return ""
@@ -70,10 +73,10 @@
     metrics: Metrics,
 ) -> CallAnswer | NotRun | OutcomeUnknown:
     """
-    Return the service's whole answer, or which of the two other families it ended in.
+    Return the service's complete answer, or a refusal, or an unknown outcome.
 
-    An unrepeatable call is handed over once; it goes to another instance only while
-    nothing was handed over.
+    An unrepeatable call is sent to another instance only if the one before has received
+    nothing.
     """
     budget.record_first_attempt()
     attempts = Attempts(_MAX_ATTEMPTS, job.unrepeatable, ResultCode.OUTCOME_UNKNOWN)
@@ -82,14 +85,14 @@
         if isinstance(grant, NotRun):
             return attempts.give_up(grant)
         try:
-            # A VM that was frozen until now must not hand over what its caller, and
-            # the memory of claims, have long given up on: checked in this loop step.
+            # After a process pause the caller may have timed out and the claim may have
+            # expired. There is no await between this check and the start of the call.
             left = job.deadline - boot_time()
             if left <= 0:
                 late = NotRun(ResultCode.TIMED_OUT_IN_QUEUE, "the deadline passed")
                 return attempts.give_up(late)
             request_id = f"{job.request_id}.{attempts.begin()}"
-            dispatcher.trace(HandedOver(request_id, grant.name, job.once))
+            dispatcher.trace(HandedOver(request_id, grant.name, job.at_most_once_id))
             result = await backends.call(
                 grant.address,
                 request_id=request_id,
--- a/packages/saddledoord/src/saddledoord/filters/claim.py
+++ b/packages/saddledoord/src/saddledoord/filters/claim.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Claim: let an unrepeatable call with a key run at most once, wherever it arrives.
+Claim: run an unrepeatable call with a key at most once, whichever VM receives it.
 """
 
 from __future__ import annotations
@@ -35,17 +35,17 @@
 Result = CallAnswer | NotRun | OutcomeUnknown
 Run = Callable[[ServiceJob], Awaitable[Result]]
 
-#: Outcomes of this process's own claims that are kept, a count.
-_LEDGER_SIZE = 5_000
-#: Claims that a call makes while earlier owners give the key back, a count.
+#: Most outcomes of this process's own claims in memory.
+_MAX_OUTCOMES = 5_000
+#: Most claims for one call; a further one is made if an earlier owner releases the key.
 _MAX_CLAIMS = 2
-#: Longest wait for a writer of claims, in seconds.
+#: Timeout of a claim at a peer, in seconds.
 _CLAIM_TIMEOUT = 4.0
 
 
 class KeyLedger:
     """
-    What became of the claims that this process owns.
+    Outcomes of the claims that this process owns.
     """
 
     def __init__(self) -> None:
@@ -53,17 +53,19 @@
 
     def open(self, claim_id: str) -> asyncio.Future:
         """
-        Begin a claim; its future gets the outcome.
+        Start a claim, and return the future of its outcome.
         """
         future = asyncio.get_running_loop().create_future()
         self._outcomes[claim_id] = future
-        while len(self._outcomes) > _LEDGER_SIZE:
+        while len(self._outcomes) > _MAX_OUTCOMES:
             self._outcomes.popitem(last=False)
         return future
 
     async def outcome(self, claim_id: str, wait: float) -> Result | None:
         """
-        Return what became of a claim, or none if this process does not know it.
+        Return the outcome of a claim; None if this process does not know the claim.
+
+        :param wait: Longest wait for the outcome, in seconds.
         """
         future = self._outcomes.get(claim_id)
         if future is None:
@@ -84,24 +86,24 @@
     ledger: KeyLedger,
 ) -> Result:
     """
-    Run the call if its key is new; otherwise tell what the first one came to.
+    Run the call if its key is new; otherwise return the outcome of the first call.
     """
     digest = key_digest(job.partner, job.service, job.key)
     partition = partition_of(digest, state.deployment.limits.claim_partitions)
-    result: Result = _undecided()
+    result: Result = _claim_failed()
     for _ in range(_MAX_CLAIMS):
         claim = KeyClaim(digest, uuid.uuid4().hex, state.owner)
         future = ledger.open(claim.claim_id)
-        # What others hear if this task is cancelled while the call is out.
+        # The outcome for waiting calls if this task is cancelled during the call.
         result = OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, "the request was cut off")
         try:
-            owner = await _ask(partition, claim, state, claims, peers)
+            owner = await _claim(partition, claim, state, claims, peers)
             if owner is None:
-                result = _undecided()
+                result = _claim_failed()
             elif owner.claim_id == claim.claim_id:
                 result = await run(job)
             else:
-                result = await _outcome_of(owner, job, state, peers, ledger)
+                result = await _outcome_of_owner(owner, job, state, peers, ledger)
         finally:
             future.set_result(result)
         if owner is not None and owner.claim_id != claim.claim_id:
@@ -109,25 +111,26 @@
                 continue
             return result
         if isinstance(result, NotRun):
-            # This process decided not to act, so it alone may free the key.
+            # This process owns the claim and has not run the call: release the key.
             await claims.release(partition, ClaimRelease(digest, claim.claim_id))
         return result
     return result
 
 
-def _undecided() -> NotRun:
+def _claim_failed() -> NotRun:
     return NotRun(ResultCode.LOG_AWAY, "the key could not be claimed in the log", 1.0)
 
 
-async def _ask(
+async def _claim(
     partition: int,
     claim: KeyClaim,
     state: NodeState,
     claims: ClaimLog,
     peers: PeerClient,
 ) -> KeyClaim | None:
-    # One writer per partition in a data centre gathers claims into few appends. That
-    # two nodes see two writers costs an append more, never a wrong verdict.
+    # One writer per partition in a data centre batches claims into few appends. If
+    # nodes choose different writers there are more appends; the log's order still
+    # decides.
     writer = rendezvous(f"claims/{partition}", state.live_vms())
     member = state.members.entry(writer) if writer else None
     if member is None or writer == state.settings.vm:
@@ -138,7 +141,7 @@
         return await claims.claim(partition, claim)
 
 
-async def _outcome_of(
+async def _outcome_of_owner(
     owner: KeyClaim,
     job: ServiceJob,
     state: NodeState,
@@ -146,13 +149,13 @@
     ledger: KeyLedger,
 ) -> Result:
     wait = max(0.0, job.deadline - boot_time())
-    spent = OutcomeUnknown(
+    key_spent = OutcomeUnknown(
         ResultCode.KEY_SPENT, "the key was used and its VM is not there any more"
     )
-    incarnation, _, address = owner.owner.partition("@")
-    if incarnation == state.incarnation:
-        return await ledger.outcome(owner.claim_id, wait) or spent
+    owner_incarnation, _, address = owner.owner.partition("@")
+    if owner_incarnation == state.incarnation:
+        return await ledger.outcome(owner.claim_id, wait) or key_spent
     try:
-        return await peers.outcome(address, owner.claim_id, wait) or spent
+        return await peers.outcome(address, owner.claim_id, wait) or key_spent
     except PeerAwayError:
-        return spent
+        return key_spent
--- a/packages/saddledoord/src/saddledoord/filters/collect.py
+++ b/packages/saddledoord/src/saddledoord/filters/collect.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Collect and label: from a stream of parts to one whole answer with its versions.
+Collect and label: turn a stream of parts into one complete answer with its versions.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 __all__ = ["collect_whole"]
 
-#: The attempt filter passes on one answer, whatever attempts it took.
-_ONLY = "only"
-#: How a trace writes that an engine named no version.
+#: Name of the only attempt; the attempt filter yields one answer for all its attempts.
+_ATTEMPT = "only"
+#: Version in a trace if the engine named none.
 _NO_VERSION = -1
 
 
@@ -36,24 +36,24 @@
     trace: Emit,
 ) -> Answer | NotRun | OutcomeUnknown:
     """
-    Take a stream to its end; what has no end marker is never passed as whole.
+    Collect a stream; without an end marker the outcome is unknown.
     """
-    taken: list[tuple[int, int]] = []
+    traced: list[tuple[int, int]] = []
     builder = AnswerBuilder(max_tokens)
-    builder.begin_attempt(_ONLY)
+    builder.begin_attempt(_ATTEMPT)
     async for part in parts:
         if not isinstance(part, Part):
             return part
-        if not builder.take(_ONLY, part):
+        if not builder.take(_ATTEMPT, part):
             break
-        taken.append(
+        traced.append(
             (_NO_VERSION if part.version is None else part.version, part.tokens)
         )
         if part.finish_reason is not None:
-            builder.end(_ONLY)
-    whole = builder.whole()
-    runs = tuple((r.version, r.first, r.last) for r in whole.runs) if whole else None
-    trace(Streamed(attempt_id, max_tokens, tuple(taken), runs))
-    if whole is None:
+            builder.end(_ATTEMPT)
+    answer = builder.whole()
+    runs = tuple((r.version, r.first, r.last) for r in answer.runs) if answer else None
+    trace(Streamed(attempt_id, max_tokens, tuple(traced), runs))
+    if answer is None:
         return OutcomeUnknown(ResultCode.ANSWER_CUT, "the stream had no end marker")
-    return whole
+    return answer
--- a/packages/saddledoord/src/saddledoord/filters/decode.py
+++ b/packages/saddledoord/src/saddledoord/filters/decode.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Decode: from a body's bytes to a typed, checked request.
+Decode: parse and validate the body of a request.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
     "decode_step",
 ]
 
-#: Longest answer that may be asked for, in tokens.
+#: Longest answer that a caller may request, in tokens.
 _MAX_TOKENS = 262_144
-#: Most samples in a step, a count.
+#: Most samples in a step.
 _MAX_SAMPLES = 65_536
 
 _T = TypeVar("_T")
@@ -36,10 +36,10 @@
 @_checked
 class CompletionBody:
     """
-    A completions call.
+    The body of a completion request.
 
     :param max_tokens: Length of the answer, in tokens.
-    :param stream: Whether parts are sent as they come.
+    :param stream: Whether parts are sent as they arrive.
     """
 
     model: Annotated[str, Field(min_length=1, max_length=128)]
@@ -70,10 +70,10 @@
 @_checked
 class StepBody:
     """
-    A trainer submits a step.
+    The body of a trainer's submission of a step.
 
-    :param version: The trainer's weight version now.
-    :param received: Slots (group, index) that the trainer holds already.
+    :param version: The trainer's current weight version.
+    :param received: Slots (group, index) whose samples the trainer has received.
     """
 
     version: _Count
@@ -84,7 +84,7 @@
 @_checked
 class FetchBody:
     """
-    A trainer fetches samples.
+    The body of a trainer's fetch of samples.
 
     :param wait_s: How long to wait if nothing is ready, in seconds.
     """
--- a/packages/saddledoord/src/saddledoord/filters/identify.py
+++ b/packages/saddledoord/src/saddledoord/filters/identify.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Identify: from a bearer token to the partner or trainer that holds it.
+Identify: find the partner or trainer that a bearer token belongs to.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 @dataclass(frozen=True)
 class Caller:
     """
-    Who sent a request.
+    The sender of a request.
 
     :param name: The partner's name, or ``trainer:`` and the trainer's.
-    :param weight: Share of a full back end relative to others.
-    :param trainer: Set if the caller is a trainer.
+    :param weight: Share of the slots of saturated backend servers, relative to others.
+    :param trainer: The trainer; None if the caller is a partner.
     """
 
     name: str
@@ -35,7 +35,7 @@
     deployment: Deployment | None, authorization: str | None
 ) -> Caller | NotRun:
     """
-    Find the holder of the token in an ``Authorization`` header.
+    Return the caller whose token is in an ``Authorization`` header, or a refusal.
     """
     if deployment is None:
         return NotRun(ResultCode.NO_CONFIGURATION, "no accepted configuration yet")
--- a/packages/saddledoord/src/saddledoord/samples/__init__.py
+++ b/packages/saddledoord/src/saddledoord/samples/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-A trainer's step: collector and runners.
+Collects the samples of trainers' steps and runs them at engines.
 """
--- a/packages/saddledoord/src/saddledoord/samples/collector.py
+++ b/packages/saddledoord/src/saddledoord/samples/collector.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Collectors: one VM per trainer gathers a step's samples and hands them out.
+The collector of a trainer: the VM that gathers a step's samples and hands them out.
 """
 
 from __future__ import annotations
@@ -43,18 +43,19 @@
 
 _log = structlog.get_logger()
 
-#: Steps of a trainer that are kept, a count; the oldest goes first.
-_STEPS_KEPT = 2
-#: Longest wait for the collector's answer beyond a fetch's own wait, in seconds.
+#: Most steps of a trainer in memory; the oldest is dropped first.
+_MAX_STEPS = 2
+#: Timeout of a call to the collector, beyond the wait of a fetch, in seconds.
 _FORWARD_TIMEOUT = 10.0
-#: How long a successor tries to take over a lease that is being released, in seconds.
-_INHERIT_FOR = 5.0
+#: Longest time for which a successor tries to claim a lease that is being released, in
+#: seconds.
+_CLAIM_TIMEOUT = 5.0
 
 
 @dataclass(frozen=True)
 class Collected:
     """
-    An answer to a trainer's operation.
+    The answer to a trainer's operation, as JSON.
     """
 
     payload: bytes
@@ -69,7 +70,7 @@
 
 class Collectors:
     """
-    Serves trainers' operations here or passes them to the collector.
+    Serves trainers' operations on this VM, or forwards them to the collector.
     """
 
     def __init__(
@@ -135,13 +136,13 @@
 
     async def inherit(self, trainer: str, step: int, samples: bytes) -> None:
         """
-        Keep a stopping collector's finished samples and take its lease over.
+        Accept the finished samples of a stopping collector, and claim its lease.
         """
         key = (trainer, step)
         self._inherited[key] = [_sample_from_json(item) for item in json.loads(samples)]
-        while len(self._inherited) > _STEPS_KEPT * 8:
+        while len(self._inherited) > _MAX_STEPS * 8:
             self._inherited.pop(next(iter(self._inherited)))
-        deadline = asyncio.get_running_loop().time() + _INHERIT_FOR
+        deadline = asyncio.get_running_loop().time() + _CLAIM_TIMEOUT
         while asyncio.get_running_loop().time() < deadline:
             await self._keeper.refresh()
             if await self._keeper.take(collector_lease(trainer)) is not None:
@@ -150,9 +151,10 @@
 
     async def hand_over(self, address: str | None) -> list[str]:
         """
-        Give finished samples to a peer; called once when this VM stops.
+        Send finished samples to a peer; called once when this VM stops.
 
-        :returns: Names of the leases that the peer is about to take.
+        :param address: The peer's address; None if there is no peer.
+        :returns: Names of the leases that the peer is about to claim.
         """
         leases: list[str] = []
         for (trainer, step), run in self._runs.items():
@@ -173,13 +175,13 @@
 
     async def finish_running(self) -> None:
         """
-        Start no more samples, and wait for those that run.
+        Start no more samples, and wait for those in flight.
         """
         await asyncio.gather(*(run.drain() for run in self._runs.values()))
 
     def steps(self) -> list[dict[str, object]]:
         """
-        Return what `status` shows of the steps collected here.
+        Return the steps collected on this VM, as `status` shows them.
         """
         return [
             {
@@ -203,8 +205,8 @@
                 address, request, _FORWARD_TIMEOUT + _longest_wait(operation)
             )
         except PeerAwayError as error:
-            # Both operations may be repeated, so "not run" is what the caller may
-            # take it for: a repeated one changes nothing.
+            # Both operations are idempotent, so an unknown outcome is answered as not
+            # run and the caller repeats the operation.
             return NotRun(ResultCode.NO_COLLECTOR, str(error), 0.3)
         if reply.code == ResultCode.DONE:
             return Collected(reply.payload)
@@ -231,7 +233,7 @@
         self._trace_opened(trainer, step, book, reopened=earlier is not None)
         if before is None:
             self._runs[key] = self._runner.start(trainer, step, book, body.version)
-            self._forget_old(trainer.name)
+            self._drop_old_steps(trainer.name)
         else:
             before.reopen(book, body.version)
         for sample in self._inherited.pop(key, []):
@@ -273,9 +275,9 @@
             )
         )
 
-    def _forget_old(self, trainer: str) -> None:
+    def _drop_old_steps(self, trainer: str) -> None:
         steps = sorted(step for name, step in self._runs if name == trainer)
-        for step in steps[:-_STEPS_KEPT]:
+        for step in steps[:-_MAX_STEPS]:
             self._runs.pop((trainer, step)).cancel()
 
     async def _fetch(
--- a/packages/saddledoord/src/saddledoord/samples/runner.py
+++ b/packages/saddledoord/src/saddledoord/samples/runner.py
@@ -38,23 +38,26 @@
 
 __all__ = ["SampleRunner", "StepRun"]
 
-#: Samples in flight per slot that is known to be there; above one, so that an engine
-#: never waits for the collector.
+#: Samples in flight per known slot; above 1, so that engines do not wait for the
+#: collector.
 _WINDOW_FACTOR = 1.25
-#: Wait before a slot whose attempt failed is tried again, in seconds.
-_FAILED_WAIT = 0.1
-#: Longest time a sample may wait for an engine, in seconds.
-_SAMPLE_QUEUE = 30.0
-#: How often a step looks at the sites again, in seconds.
-_REVIEW = 0.2
-#: How long ends of samples are gathered before the book is looked at, in seconds.
-_COALESCE = 0.01
+#: Pause before a failed sample is attempted again, in seconds.
+_RETRY_PAUSE = 0.1
+#: Longest time that a sample may wait for an engine, in seconds.
+_QUEUE_TIMEOUT = 30.0
+#: Longest time between two checks for samples to start, in seconds.
+_CHECK_INTERVAL = 0.2
+#: Time for which changes of a step are gathered before the next check, in seconds.
+_BATCH_DELAY = 0.01
 
 
 @dataclass(frozen=True)
 class _Site:
     """
-    A data centre that can take samples; no address means this one.
+    A data centre that can run samples.
+
+    :param slots: Number of its engines' slots.
+    :param peers: Addresses of VMs there; empty for this VM's data centre.
     """
 
     name: str
@@ -64,7 +67,7 @@
 
 class SampleRunner:
     """
-    What every step's run needs.
+    Runs samples at engines; shared by all steps.
     """
 
     def __init__(
@@ -87,7 +90,7 @@
         self, trainer: Trainer, step: int, book: StepBook, version: int
     ) -> StepRun:
         """
-        Start to fill a step's book.
+        Start to run the missing samples of a step.
         """
         return StepRun(self, trainer, step, book, version)
 
@@ -96,13 +99,13 @@
         Return the data centres that have slots for a pool.
         """
         reports = self.state.members.reports()
-        own = sum(
+        own_slots = sum(
             member.slots
             for member in backends_here(self.state)
-            if member.state == "serving" and self._is_of(pool, member.name)
+            if member.state == "serving" and self._is_in_pool(pool, member.name)
             if (report := reports.get(member.name)) and report.alive
         )
-        sites = [_Site(self.state.data_centre, own)] if own else []
+        sites = [_Site(self.state.data_centre, own_slots)] if own_slots else []
         for summary in self.state.members.sites(boot_time()):
             if summary.slots(pool) and summary.peers:
                 slots = summary.slots(pool)
@@ -111,33 +114,34 @@
 
     async def attempt(self, site: _Site, job: CompletionJob) -> Answer | None:
         """
-        Run a sample once; none if no whole, labelled answer came.
+        Run a sample once; return None without a complete answer whose weight versions
+        are known.
         """
         if site.peers:
             peer = random.choice(site.peers)
-            parts = self._peers.complete(peer, job, _SAMPLE_QUEUE)
+            parts = self._peers.complete(peer, job, _QUEUE_TIMEOUT)
         else:
             budget = self._budgets.of(job.partner)
             parts = attempt_completion(
                 job, self._dispatcher, self._backends, budget, self.metrics
             )
-        whole = await collect_whole(
+        answer = await collect_whole(
             parts, job.max_tokens, job.attempt_id, self.state.trace
         )
-        if isinstance(whole, Answer) and whole.labelled:
-            return whole
-        outcome = "unlabelled" if isinstance(whole, Answer) else whole.code.name
+        if isinstance(answer, Answer) and answer.labelled:
+            return answer
+        outcome = "unlabelled" if isinstance(answer, Answer) else answer.code.name
         self.metrics.samples.add(1, {"what": f"failed_{outcome.lower()}"})
         return None
 
-    def _is_of(self, pool: str, engine: str) -> bool:
+    def _is_in_pool(self, pool: str, engine: str) -> bool:
         found = self.state.deployment.pool(pool) if self.state.deployment else None
         return found is not None and any(e.name == engine for e in found.engines)
 
 
 class StepRun:
     """
-    One step on its way: its book and the samples in flight.
+    A step in progress: its book and the samples in flight.
     """
 
     def __init__(
@@ -161,7 +165,7 @@
 
     def reopen(self, book: StepBook, version: int) -> None:
         """
-        Go on with a new book, after the trainer submitted the step again.
+        Continue with a new book, after the trainer has submitted the step again.
         """
         self.book = book
         self.note_version(version)
@@ -169,19 +173,19 @@
 
     def note_version(self, version: int) -> None:
         """
-        Take the version that the trainer names now.
+        Record the trainer's current weight version.
         """
         self._version = max(self._version, version)
 
     def wake(self) -> None:
         """
-        Look at the book again.
+        Check for samples to start without delay.
         """
         self._changed.set()
 
     def add(self, sample: Sample) -> bool:
         """
-        Offer a finished sample to the book.
+        Add a finished sample to the book; return False if it was not accepted.
         """
         slot = (sample.slot.group, sample.slot.index)
         runs = tuple((run.version, run.first, run.last) for run in sample.runs)
@@ -197,7 +201,8 @@
 
     async def wait_ready(self, wait: float) -> None:
         """
-        Wait until a fresh sample is ready or nothing is left to wait for.
+        Wait until a sample that is not stale is ready, the step is complete, or the
+        wait in seconds has passed.
         """
         try:
             async with asyncio.timeout(wait):
@@ -213,7 +218,7 @@
 
     async def drain(self) -> None:
         """
-        Start nothing more and wait for the samples in flight.
+        Start no more samples, and wait for those in flight.
         """
         self._draining = True
         while self._tasks:
@@ -221,7 +226,7 @@
 
     async def stop(self) -> None:
         """
-        Stop for good; what runs is given up.
+        Cancel the step, and wait until its tasks have ended.
         """
         self.cancel()
         await asyncio.gather(self._task, *self._tasks, return_exceptions=True)
@@ -236,13 +241,13 @@
             if not self._draining:
                 self._start_samples()
             try:
-                async with asyncio.timeout(_REVIEW):
+                async with asyncio.timeout(_CHECK_INTERVAL):
                     await self._changed.wait()
             except TimeoutError:
                 pass
             self._changed.clear()
-            # Many samples end close together: look at the book once for all of them.
-            await asyncio.sleep(_COALESCE)
+            # Many samples end close together; check once for all of them.
+            await asyncio.sleep(_BATCH_DELAY)
 
     def _start_samples(self) -> None:
         waiting = [s for s in self.book.missing if s.slot not in self._in_flight]
@@ -250,40 +255,40 @@
             return
         sites = self._runner.sites(self._trainer.pool)
         for spec in longest_first(waiting):
-            site = self._roomiest(sites)
+            site = self._least_loaded(sites)
             if site is None:
                 return
             self._in_flight[spec.slot] = site.name
-            task = asyncio.create_task(self._sample(spec, site))
+            task = asyncio.create_task(self._run_sample(spec, site))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _roomiest(self, sites: list[_Site]) -> _Site | None:
+    def _least_loaded(self, sites: list[_Site]) -> _Site | None:
         used: dict[str, int] = {}
         for name in self._in_flight.values():
             used[name] = used.get(name, 0) + 1
-        with_room = [
+        with_free_slots = [
             site
             for site in sites
             if used.get(site.name, 0) < max(1, int(site.slots * _WINDOW_FACTOR))
         ]
         return min(
-            with_room,
+            with_free_slots,
             key=lambda site: used.get(site.name, 0) / site.slots,
             default=None,
         )
 
-    async def _sample(self, spec: SampleSpec, site: _Site) -> None:
+    async def _run_sample(self, spec: SampleSpec, site: _Site) -> None:
         try:
-            whole = await self._runner.attempt(site, self._job(spec))
-            if whole is None:
-                await asyncio.sleep(_FAILED_WAIT)
+            answer = await self._runner.attempt(site, self._job(spec))
+            if answer is None:
+                await asyncio.sleep(_RETRY_PAUSE)
                 return
             sample = Sample(
-                spec.slot, whole.text, whole.tokens, whole.runs, whole.finish_reason
+                spec.slot, answer.text, answer.tokens, answer.runs, answer.finish_reason
             )
-            taken = self.add(sample)
-            what = "won" if taken else "not_needed"
+            accepted = self.add(sample)
+            what = "won" if accepted else "not_needed"
             self._runner.metrics.samples.add(1, {"what": what})
         finally:
             del self._in_flight[spec.slot]
@@ -305,7 +310,7 @@
             prompt=spec.prompt,
             max_tokens=spec.max_tokens,
             work=WorkClass.TRAINING,
-            deadline=boot_time() + _SAMPLE_QUEUE,
+            deadline=boot_time() + _QUEUE_TIMEOUT,
             min_version=oldest,
             local_only=True,
         )
