--- a/packages/saddledoord/src/saddledoord/jobs/attempt.py
+++ b/packages/saddledoord/src/saddledoord/jobs/attempt.py
@@ -147,27 +147,27 @@
                 await asyncio.wait({pending}, timeout=_CHECK_INTERVAL)
                 if pending.done():
                     return pending.result()
-                silent = boot_time() - began
-                if silent > _PAUSE and run.times.phase is ItemPhase.EVENTS:
+                silence = boot_time() - began
+                if silence > _PAUSE and run.times.phase is ItemPhase.EVENTS:
                     run.times.enter(ItemPhase.PAUSE, began + _PAUSE)
-                self._check_silence(run, engine, silent)
+                self._check_silence(run, engine, silence)
         finally:
             if not pending.done():
                 pending.cancel()
                 await asyncio.wait({pending})
 
-    def _check_silence(self, run: ItemRun, engine: EngineEntry, silent: float) -> None:
-        if silent > _SILENCE:
+    def _check_silence(self, run: ItemRun, engine: EngineEntry, silence: float) -> None:
+        if silence > _SILENCE:
             raise GenerationFailedError(GenerationFailedError.BROKEN, "silent")
         now = boot_time()
-        silent = min(silent, self._paces.silent_for(engine.incarnation, now))
-        if silent <= self._stall(run, engine, now):
+        silence = min(silence, self._paces.silent_for(engine.incarnation, now))
+        if silence <= self._stall_limit(run, engine, now):
             return
         if self._placement.find_alternative(run, engine):
             run.stalls += 1
             raise GenerationFailedError(GenerationFailedError.STALLED, "engine silent")
 
-    def _stall(self, run: ItemRun, engine: EngineEntry, now: float) -> float:
+    def _stall_limit(self, run: ItemRun, engine: EngineEntry, now: float) -> float:
         """
         Return how long an engine may be silent before an item moves, in seconds.
 
@@ -175,8 +175,8 @@
         engines are slower than expected.
         """
         gap = self._paces.gap(engine.incarnation, now)
-        least = _STALL_FIRST if gap is None else max(_STALL, _STALL_GAPS * gap)
-        return least * 2**run.stalls
+        limit = _STALL_FIRST if gap is None else max(_STALL, _STALL_GAPS * gap)
+        return limit * 2**run.stalls
 
     def _check_pace(self, run: ItemRun, engine: EngineEntry) -> None:
         self._placement.update_is_long(run)
--- a/packages/saddledoord/src/saddledoord/jobs/item_run.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_run.py
@@ -40,13 +40,13 @@
     A job item's text so far, and the task that generates it.
 
     :param text: Events received so far; those in the log are missing until `load`.
-    :param task: The current attempt; None while no engine runs the item.
+    :param task: Task that runs or scores the item; None while it waits for an engine.
     :param result_queued: Whether its result is queued for the log.
     :param result_logged: Whether the log holds its result.
     :param is_long: Whether its text is expected to be among the step's longest.
     :param failures: Number of failed runs; ahead of the number in the log.
     :param persisted: Number of events handed to the record writer.
-    :param persisted_chain: The chain of the last of them.
+    :param persisted_chain: Id of the run that made the last of them.
     :param persisting: Whether the append of these events is in flight.
     :param loaded: Whether the events in the log have been read.
     :param stalls: Number of moves away from silent engines.
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -195,8 +195,8 @@
         """
         if self._stopped:
             return []
-        jobs = self._jobs.open_jobs()
-        return [s for s in jobs if self._owns(self._view.share_of(s.job))]
+        states = self._jobs.open_jobs()
+        return [state for state in states if self._owns(self._view.share_of(state.job))]
 
     def _drop(self, key: ItemKey, reason: str) -> None:
         run = self._runs.pop(key)
@@ -306,15 +306,15 @@
             try:
                 await self._load(run)
                 # The process may have been paused during the read.
-                whole = self._may_start()
-                if whole:
+                complete = self._may_start()
+                if complete:
                     await self._attempts.run(run, route, engine)
             except GenerationFailedError as error:
                 self._handle_failure(run, engine, error.outcome, str(error))
-                whole = False
+                complete = False
         # The slot is free for another item while this one is scored.
         self.wake()
-        if whole:
+        if complete:
             self._placement.note_finished(run)
             await self._finish(run)
         else:
