--- a/packages/saddledoord/src/saddledoord/filters/claim.py
+++ b/packages/saddledoord/src/saddledoord/filters/claim.py
@@ -26,7 +26,7 @@
 from .._state import NodeState
 from ..backends.client import CallAnswer
 from ..log.claims import ClaimLog
-from ..peers.client import PeerAwayError, PeerClient
+from ..peers.client import PeerClient, PeerUnavailableError
 from .call import ServiceJob
 
 
@@ -137,7 +137,7 @@
         return await claims.claim(partition, claim)
     try:
         return await peers.claim(member.grpc, partition, claim, _CLAIM_TIMEOUT)
-    except PeerAwayError:
+    except PeerUnavailableError:
         return await claims.claim(partition, claim)
 
 
--- a/packages/saddledoord/src/saddledoord/filters/collect.py
+++ b/packages/saddledoord/src/saddledoord/filters/collect.py
@@ -16,7 +16,7 @@
     Part,
     ResultCode,
 )
-from saddledoor.tracing import Streamed
+from saddledoor.tracing import AnswerStreamed
 
 from ..observability.tracing import Emit
 
--- a/packages/saddledoord/src/saddledoord/jobs/attempt.py
+++ b/packages/saddledoord/src/saddledoord/jobs/attempt.py
@@ -11,16 +11,16 @@
 from saddledoor import EngineEntry, GatewayRoute, GeneratedEvent
 
 from .._clock import boot_time
-from ..cluster.lives import EngineLives
+from ..cluster.engine_timeouts import EngineTimeouts
 from ..ports import Engines, Generation, GenerationFailedError
-from ..serving.engine_ends import EngineEndWatch, RunAtEngine
+from ..serving.engine_crash_watch import EngineCrashWatch, EngineRun
 from ..serving.pace import EnginePaces
 from .item_run import ItemRun
 from .item_times import ItemPhase
 from .placement import Placement
 
 
-__all__ = ["Attempts"]
+__all__ = ["AttemptRunner"]
 
 #: Silence after which a stream counts as broken, in seconds; longer than a load of
 #: weights.
@@ -49,13 +49,13 @@
 _NOT_RUN = frozenset(
     {
         GenerationFailedError.NOT_STARTED,
-        GenerationFailedError.MOVED,
-        GenerationFailedError.UNREACHED,
+        GenerationFailedError.WRONG_INCARNATION,
+        GenerationFailedError.UNREACHABLE,
     }
 )
 
 
-class Attempts:
+class AttemptRunner:
     """
     Runs job items at engines, one call for each attempt.
     """
@@ -65,8 +65,8 @@
         engines: Engines,
         paces: EnginePaces,
         placement: Placement,
-        lives: EngineLives,
-        ends: EngineEndWatch,
+        lives: EngineTimeouts,
+        ends: EngineCrashWatch,
     ) -> None:
         self._ends = ends
         self._lives = lives
@@ -81,7 +81,7 @@
         :raises GenerationFailedError: If the text is still incomplete.
         """
         try:
-            with self._ends.running(engine.incarnation, run.key) as at_engine:
+            with self._ends.track_run(engine.incarnation, run.key) as at_engine:
                 async with self._lives.within(engine.incarnation):
                     await self._run_tracked(run, route, engine, at_engine)
         except TimeoutError:
@@ -94,7 +94,7 @@
         run: ItemRun,
         route: GatewayRoute,
         engine: EngineEntry,
-        at_engine: RunAtEngine,
+        at_engine: EngineRun,
     ) -> None:
         """
         Receive the events, and report to the crash tracking how the run ended.
@@ -103,13 +103,13 @@
             await self._receive_events(run, route, engine)
         except GenerationFailedError as error:
             if error.outcome == GenerationFailedError.BROKEN:
-                at_engine.broke_off(engine)
+                at_engine.record_interrupted(engine)
             elif error.outcome in _ANSWERED:
-                at_engine.survived()
+                at_engine.record_completed()
             elif error.outcome in _NOT_RUN:
-                at_engine.not_run()
+                at_engine.record_not_started()
             raise
-        at_engine.survived()
+        at_engine.record_completed()
 
     async def _receive_events(
         self, run: ItemRun, route: GatewayRoute, engine: EngineEntry
@@ -196,7 +196,7 @@
     ) -> None:
         job = run.state.job
         if event.version is not None:
-            self._placement.saw(engine, job.model, event.version)
+            self._placement.note_version(engine, job.model, event.version)
         mixed = run.text.versions and event.version not in run.text.versions
         if route.single_version and mixed:
             run.discard_text()
--- a/packages/saddledoord/src/saddledoord/jobs/item_run.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_run.py
@@ -12,13 +12,13 @@
 from functools import cached_property, partial
 
 from saddledoor import (
+    CheckpointedText,
     EventText,
     Incarnation,
-    ItemKept,
+    ItemCheckpoint,
     JobItem,
     JobState,
-    KeptParts,
-    KeptText,
+    TextSegment,
     decode_events,
     encode_events,
     request_key,
@@ -116,7 +116,7 @@
         """
         The events of the text in the log, as far as this node has read it.
         """
-        return self.state.kept.get(self.item.item_id, KeptParts())
+        return self.state.kept.get(self.item.item_id, CheckpointedText())
 
     @property
     def is_idle(self) -> bool:
@@ -164,7 +164,7 @@
         """
         return self.text.last - self.persisted
 
-    def keep(self, writer: RecordWriter) -> None:
+    def persist(self, writer: RecordWriter) -> None:
         """
         Queue the new events for the log.
 
@@ -179,7 +179,7 @@
             self.persisted, self.persisted_chain = 0, ""
         part = self.text.since(self.persisted)
         record = partial(
-            ItemKept,
+            ItemCheckpoint,
             self.state.job.job_id,
             self.item.item_id,
             self.persisted + 1,
--- a/packages/saddledoord/src/saddledoord/jobs/known_ends.py
+++ b/packages/saddledoord/src/saddledoord/jobs/log_freshness.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["KnownEnds", "LogView"]
+__all__ = ["LogFreshness", "LogReadState"]
 
 #: Freshness limit while the store is reachable, as a share of the cancel time.
 _FRESH_SHARE = 2 / 3
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class LogView:
+class LogReadState:
     """
     How far this node has read the jobs' log; times are monotonic, in seconds.
 
@@ -29,12 +29,12 @@
     :param awake_since: When the process last resumed after a pause.
     """
 
-    confirmed_at: float
+    synced_at: float
     reached: bool
-    awake_since: float
+    resumed_at: float
 
 
-class KnownEnds:
+class LogFreshness:
     """
     Tells whether this node would know that a job has ended.
 
@@ -51,7 +51,7 @@
         self._read_state = read_state
         self.set_cancel_time(cancel_time)
 
-    def set_cancel_time(self, cancel_time: float) -> None:
+    def set_cancel_limit(self, cancel_limit: float) -> None:
         """
         Change the cancel time, in seconds.
         """
--- a/packages/saddledoord/src/saddledoord/jobs/record_writer.py
+++ b/packages/saddledoord/src/saddledoord/jobs/record_writer.py
@@ -13,7 +13,7 @@
 from saddledoor import JobRecord, StoredText, encode_job_record
 
 from ..ports import SharedLog
-from .appending import append_until_done
+from .appending import append_until_acknowledged
 from .texts import TextStore
 
 
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -16,28 +16,28 @@
     EngineEntry,
     GatewayRoute,
     ItemFailed,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     JobItem,
     JobState,
-    Standing,
+    PoisonStatus,
 )
 from saddledoor.exceptions import UndecodableRecordError
 
 from .._clock import boot_time
 from ..cluster.view import ClusterView
-from ..ports import GenerationFailedError, StoreAwayError
-from ..serving.engine_ends import EngineEndWatch
-from ..serving.pool import EnginePool, Place
-from ..serving.silence import SilentEngines
-from .attempt import Attempts
+from ..ports import GenerationFailedError, StoreUnavailableError
+from ..serving.engine_crash_watch import EngineCrashWatch
+from ..serving.pool import EnginePool, Reservation
+from ..serving.unresponsive_engines import UnresponsiveEngines
+from .attempt import AttemptRunner
 from .item_loader import ItemLoader
 from .item_run import ItemRun
 from .item_times import ItemPhase
-from .known_ends import KnownEnds
+from .log_freshness import LogFreshness
 from .placement import Placement
 from .record_writer import RecordWriter
-from .scoring import ScoreImpossibleError, Scorer
+from .scoring import Scorer, ScoringFailedError
 from .service import JobService
 from .texts import TextStore
 
@@ -77,15 +77,15 @@
         jobs: JobService,
         view: ClusterView,
         pool: EnginePool,
-        silent: SilentEngines,
+        silent: UnresponsiveEngines,
         placement: Placement,
-        attempts: Attempts,
-        ends: EngineEndWatch,
+        attempts: AttemptRunner,
+        ends: EngineCrashWatch,
         writer: RecordWriter,
         texts: TextStore,
         scorer: Scorer,
         owns: Callable[[str], bool],
-        known_ends: KnownEnds,
+        log_freshness: LogFreshness,
     ) -> None:
         self._jobs = jobs
         self._view = view
@@ -95,7 +95,7 @@
         self._texts = texts
         self._scorer = scorer
         self._owns = owns
-        self._known_ends = known_ends
+        self._log_freshness = log_freshness
         self._attempts = attempts
         self._ends = ends
         self._placement = placement
@@ -129,7 +129,7 @@
             except TimeoutError:
                 pass
 
-    def let_go(self) -> None:
+    def drop_unowned(self) -> None:
         """
         Drop the items that this node should no longer run.
         """
@@ -143,7 +143,7 @@
         for key in list(self._runs):
             self._drop(key, "handed_over")
 
-    async def keep(self) -> None:
+    async def persist(self) -> None:
         """
         Write the events of unfinished texts to the log until cancelled.
         """
@@ -161,7 +161,7 @@
         """
         Whether this node would know that a job has ended.
         """
-        return self._known_ends.may_start(boot_time())
+        return self._log_freshness.may_start(boot_time())
 
     def _reconcile(self) -> None:
         """
@@ -172,8 +172,8 @@
             return
         wanted: dict[ItemKey, tuple[JobState, JobItem]] = {}
         for state in self._own_jobs():
-            self._items.want(state)
-            for item in state.unlisted():
+            self._items.request_items(state)
+            for item in state.items_without_result():
                 wanted[state.job.job_id, item.item_id] = (state, item)
         for key in list(self._runs):
             if key not in wanted:
@@ -212,7 +212,7 @@
             reason=reason,
             events=run.text.last,
         )
-        run.keep(self._writer)
+        run.persist(self._writer)
 
     def _dispatch(self) -> None:
         unavailable: set[tuple[str, str, int]] = set()
@@ -234,7 +234,7 @@
             if standing is Standing.BARRED:
                 self._log_quarantined(run)
                 continue
-            engine = self._choose(run, route, standing)
+            engine = self._choose(run, route, poison_status)
             if engine is None:
                 if standing is not Standing.UNCLEAR:
                     unavailable.add(requirements)
@@ -243,7 +243,7 @@
             self._begin(run, route, engine)
 
     def _choose(
-        self, run: ItemRun, route: GatewayRoute, standing: Standing
+        self, run: ItemRun, route: GatewayRoute, poison_status: PoisonStatus
     ) -> EngineEntry | None:
         """
         Return an engine for an item, or None.
@@ -272,7 +272,7 @@
         )
 
     def _begin(self, run: ItemRun, route: GatewayRoute, engine: EngineEntry) -> None:
-        place = self._placement.take(run, engine)
+        place = self._placement.reserve(run, engine)
         run.engines.append(engine.engine_id)
         run.times.enter(ItemPhase.FIRST_EVENT, boot_time())
         run.task = asyncio.create_task(self._run_item(run, route, engine, place))
@@ -327,7 +327,7 @@
         """
         try:
             await run.load(self._texts)
-        except (StoreAwayError, UndecodableRecordError) as error:
+        except (StoreUnavailableError, UndecodableRecordError) as error:
             _log.warning(
                 "kept_text_not_loaded",
                 job=run.state.job.job_id,
@@ -352,19 +352,19 @@
         )
         match outcome:
             case GenerationFailedError.NOT_STARTED:
-                self._pool.refused(engine, run.state.job.model)
+                self._pool.record_refusal(engine, run.state.job.model)
             case GenerationFailedError.STALLED:
-                self._silent.note(engine)
+                self._silent.probe(engine)
             case GenerationFailedError.SLOW | GenerationFailedError.RESTARTED:
                 pass
             case GenerationFailedError.FAILED:
                 run.ineligible.add(engine.incarnation)
                 self._count_failure(run)
-            case GenerationFailedError.IMPOSSIBLE:
+            case GenerationFailedError.REJECTED:
                 self._give_up(run)
             case _:
-                self._pool.failed(engine)
-                self._silent.note(engine)
+                self._pool.record_failure(engine)
+                self._silent.probe(engine)
 
     def _count_failure(self, run: ItemRun) -> None:
         job, item_id = run.state.job, run.item.item_id
@@ -386,9 +386,9 @@
                     lambda: self._writer.put(
                         ItemFailed(job_id, item.item_id, _new_failure(), scoring=True)
                     ),
-                    lambda: self._known_ends.may_score(boot_time()),
+                    lambda: self._log_freshness.may_score(boot_time()),
                 )
-            except ScoreImpossibleError:
+            except ScoringFailedError:
                 _log.info("item_not_scored", job=job_id, item=item.item_id)
                 self._give_up(run)
                 return
@@ -397,7 +397,7 @@
         run.times.enter(ItemPhase.LOG, boot_time())
         self._writer.put_with_text(
             run.text.text.encode(),
-            lambda text: ItemListed(
+            lambda text: ItemResultRecorded(
                 job_id, ItemResult(item.item_id, True, text, versions, mark)
             ),
             lambda: self._log_group(run),
@@ -431,7 +431,7 @@
         """
         run.result_queued = True
         result = ItemResult(run.item.item_id, done=False)
-        self._writer.put(ItemListed(run.state.job.job_id, result))
+        self._writer.put(ItemResultRecorded(run.state.job.job_id, result))
 
 
 def _new_failure() -> str:
--- a/packages/saddledoord/src/saddledoord/jobs/scoring.py
+++ b/packages/saddledoord/src/saddledoord/jobs/scoring.py
@@ -21,7 +21,7 @@
 from ..serving.pass_through import PassThrough
 
 
-__all__ = ["ScoreImpossibleError", "Scorer"]
+__all__ = ["ScoringFailedError", "Scorer"]
 
 _log = structlog.get_logger()
 
@@ -37,7 +37,7 @@
 _NO_ROUTE_PAUSE = 0.5
 
 
-class ScoreImpossibleError(Exception):
+class ScoringFailedError(Exception):
     """
     The scoring service failed as often as its route allows.
     """
@@ -98,8 +98,10 @@
                 may_call,
             )
             match outcome:
-                case EngineAnswer(status=status, mark=mark) if status < 300 and mark:
-                    return mark
+                case EngineAnswer(status=status, signature=signature) if (
+                    status < 300 and signature
+                ):
+                    return signature
             await asyncio.sleep(pause)
             pause = min(_PAUSE_MOST, 2 * pause)
 
--- a/packages/saddledoord/src/saddledoord/jobs/service.py
+++ b/packages/saddledoord/src/saddledoord/jobs/service.py
@@ -15,8 +15,8 @@
 from saddledoor import (
     ItemResult,
     Job,
-    JobBook,
     JobEnded,
+    JobFold,
     JobItem,
     JobOpened,
     JobState,
@@ -31,14 +31,14 @@
 from saddledoor.exceptions import UndecodableRecordError
 
 from .._clock import boot_time
-from ..cluster.changes import Changes
+from ..cluster.change_notifier import ChangeNotifier
 from ..cluster.follow import LogFollower
 from ..ports import (
     Appended,
+    AppendOutcomeUnknown,
     NotAppended,
     SharedLog,
-    StoreAwayError,
-    UnknownAppend,
+    StoreUnavailableError,
 )
 from .record_writer import JOBS_STREAM
 from .texts import TextStore
@@ -46,11 +46,11 @@
 
 __all__ = [
     "Accepted",
-    "JobReading",
+    "JobResultsPage",
     "JobService",
-    "NoSuchJob",
-    "ReadResult",
-    "Unsure",
+    "JobNotFound",
+    "ResultWithText",
+    "JobStateUnknown",
 ]
 
 _log = structlog.get_logger()
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True)
-class ReadResult:
+class ResultWithText:
     """
     A result with its text.
     """
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class JobReading:
+class JobResultsPage:
     """
     A page of a job's results.
 
@@ -106,18 +106,18 @@
 
     total: int
     next_position: int
-    results: tuple[ReadResult, ...]
+    results: tuple[ResultWithText, ...]
 
 
 @dataclass(frozen=True)
-class NoSuchJob:
+class JobNotFound:
     """
     The log holds no such job or item that the caller may see.
     """
 
 
 @dataclass(frozen=True)
-class Unsure:
+class JobStateUnknown:
     """
     This node cannot read the log now; the caller should retry.
 
@@ -140,10 +140,10 @@
     def __init__(
         self,
         log: SharedLog,
-        book: JobBook,
+        book: JobFold,
         texts: TextStore,
-        changes: Changes,
-        read_for: float,
+        changes: ChangeNotifier,
+        result_retention: float,
         retention: float,
         store_is_silent: Callable[[], bool],
         runs_jobs: Callable[[], bool],
@@ -153,12 +153,14 @@
         self._runs_jobs = runs_jobs
         self._book = book
         self._texts = texts
-        self.keep_for(read_for, retention)
+        self.set_retention(result_retention, retention)
         self._changes = changes
         self._on_record = lambda: None
         self._expired_at = boot_time()
         self._unreadable: set[tuple[str, str]] = set()
-        self._follower = LogFollower(log, JOBS_STREAM, self._apply, gather=self._gather)
+        self._follower = LogFollower(
+            log, JOBS_STREAM, self._apply, batch_delay=self._gather
+        )
 
     @property
     def caught_up(self) -> bool:
@@ -172,7 +174,7 @@
         """
         Whether the store answered the last read.
         """
-        return self._follower.reached
+        return self._follower.is_store_reachable
 
     @property
     def skipped(self) -> int:
@@ -189,11 +191,11 @@
         return len(self._unreadable)
 
     @property
-    def confirmed_at(self) -> float:
+    def synced_at(self) -> float:
         """
         When this node last had read the whole log, monotonic, in seconds.
         """
-        return self._follower.confirmed_at
+        return self._follower.synced_at
 
     def open_jobs(self) -> list[JobState]:
         """
@@ -201,7 +203,7 @@
         """
         return self._book.open_jobs()
 
-    def keep_for(self, read_for: float, retention: float) -> None:
+    def set_retention(self, result_retention: float, retention: float) -> None:
         """
         Change the ages up to which jobs may be read and records are retained.
         """
@@ -253,7 +255,7 @@
 
     async def read(
         self, job_id: str, position: int, wait: float, caller: str | None = None
-    ) -> JobReading | NoSuchJob | Unsure:
+    ) -> JobResultsPage | JobNotFound | JobStateUnknown:
         """
         Return results from a position on, as far as their texts are read in time.
 
@@ -280,9 +282,9 @@
             texts = await self._texts.read_first(
                 [result.text for result in results], texts_deadline
             )
-        except StoreAwayError as error:
+        except StoreUnavailableError as error:
             _log.info("texts_not_read", job=job_id, reason=str(error))
-            return Unsure()
+            return JobStateUnknown()
         if len(texts) < len(results):
             _log.info(
                 "reading_in_part",
@@ -296,16 +298,18 @@
             self._read_result(job_id, result, text)
             for result, text in zip(results, texts, strict=False)
         )
-        return JobReading(state.job.size, position + len(read), read)
+        return JobResultsPage(state.job.size, position + len(read), read)
 
-    def _read_result(self, job_id: str, result: ItemResult, text: bytes) -> ReadResult:
+    def _read_result(
+        self, job_id: str, result: ItemResult, text: bytes
+    ) -> ResultWithText:
         """
         Return a result; one whose text cannot be decoded counts as given up.
 
         Every node reads the same bytes and so gives the same answer.
         """
         try:
-            return ReadResult(result, text.decode())
+            return ResultWithText(result, text.decode())
         except UnicodeDecodeError as error:
             if (job_id, result.item_id) not in self._unreadable:
                 self._unreadable.add((job_id, result.item_id))
@@ -315,11 +319,11 @@
                     item=result.item_id,
                     reason=str(error.reason),
                 )
-            return ReadResult(ItemResult(result.item_id, done=False), "")
+            return ResultWithText(ItemResult(result.item_id, done=False), "")
 
     async def body(
         self, job_id: str, item_id: str, caller: str | None = None
-    ) -> bytes | NoSuchJob | Unsure:
+    ) -> bytes | JobNotFound | JobStateUnknown:
         """
         Return the body of an item.
 
@@ -330,11 +334,11 @@
             return state
         try:
             items = await self.load_items(state)
-        except (StoreAwayError, UndecodableRecordError) as error:
+        except (StoreUnavailableError, UndecodableRecordError) as error:
             _log.info("items_not_loaded", job=job_id, reason=str(error))
-            return Unsure()
+            return JobStateUnknown()
         item = items.get(item_id)
-        return item.body if item is not None else NoSuchJob()
+        return item.body if item is not None else JobNotFound()
 
     async def load_items(self, state: JobState) -> dict[str, JobItem]:
         """
@@ -350,7 +354,7 @@
 
     async def end(
         self, job_id: str, caller: str | None = None
-    ) -> Accepted | NoSuchJob | Unsure:
+    ) -> Accepted | JobNotFound | JobStateUnknown:
         """
         Append the end of a job to the log.
 
@@ -371,22 +375,22 @@
             listed=len(state.results),
             acknowledged=isinstance(outcome, Accepted),
         )
-        return outcome if isinstance(outcome, Accepted) else Unsure()
+        return outcome if isinstance(outcome, Accepted) else JobStateUnknown()
 
     async def _find(
         self, job_id: str, caller: str | None
-    ) -> JobState | NoSuchJob | Unsure:
+    ) -> JobState | JobNotFound | JobStateUnknown:
         state = self._book.get(job_id)
         if state is None and not await self._follower.sync():
             _log.info("job_unsure", job=job_id, caught_up=self.caught_up)
-            return Unsure()
+            return JobStateUnknown()
         state = self._book.get(job_id)
         if state is None:
             _log.info("job_unknown", job=job_id)
-            return NoSuchJob()
+            return JobNotFound()
         if not state.job.may_be_seen_by(caller):
             _log.info("job_of_another_workspace", job=job_id, caller=caller)
-            return NoSuchJob()
+            return JobNotFound()
         return state
 
     async def _append_opened(
@@ -429,7 +433,7 @@
         return NotRun(ResultCode.LOG_AWAY, reason, _RETRY_AFTER)
 
     def _gather(self) -> float:
-        return 0.0 if self._runs_jobs() or self._changes.awaited else _GATHER
+        return 0.0 if self._runs_jobs() or self._changes.has_waiters else _GATHER
 
     def _apply(self, offset: int, data: bytes) -> None:
         job_id = self._book.apply(decode_job_record(data), boot_time())
--- a/packages/saddledoord/src/saddledoord/jobs/texts.py
+++ b/packages/saddledoord/src/saddledoord/jobs/texts.py
@@ -20,8 +20,8 @@
 from saddledoor import PageSize, StoredText
 
 from .._clock import boot_time
-from ..ports import LogGoneError, SharedLog, StoreAwayError
-from .appending import append_until_done
+from ..ports import LogTruncatedError, SharedLog, StoreUnavailableError
+from .appending import append_until_acknowledged
 
 
 __all__ = ["TextStore"]
@@ -161,9 +161,9 @@
                 raise StoreAwayError("a concurrent read of texts failed")
             try:
                 page = await self._log.read(
-                    TEXTS_STREAM, offset, largest=self._page_size.current
+                    TEXTS_STREAM, offset, max_bytes=self._page_size.current
                 )
-            except LogGoneError as error:
+            except LogTruncatedError as error:
                 _log.error("text_gone", offset=offset, first=error.first)
                 raise StoreAwayError(
                     f"text {offset} was dropped from the log"
@@ -177,7 +177,7 @@
             found[offset + index] = record
             self._add_to_cache(offset + index, record)
         if offset not in found:
-            raise StoreAwayError(f"no text at offset {offset}")
+            raise StoreUnavailableError(f"no text at offset {offset}")
 
     def _add_to_cache(self, offset: int, record: bytes) -> None:
         if offset in self._cache:
--- a/packages/saddledoord/src/saddledoord/orders/weights.py
+++ b/packages/saddledoord/src/saddledoord/orders/weights.py
@@ -18,18 +18,18 @@
     EngineTable,
     GatewayService,
     ModelWeights,
-    engines_at_once,
-    wanted_loads,
+    max_concurrent_loads,
+    plan_weight_loads,
 )
 
 from .._clock import boot_time
-from ..cluster.lives import EngineLives
+from ..cluster.engine_timeouts import EngineTimeouts
 from ..cluster.view import ClusterView
 from ..duties.lease import DutyLease
 from ..ports import Engines, EngineState, OrderOutcome, VersionOrder
 
 
-__all__ = ["WeightKeeper"]
+__all__ = ["WeightUpdater"]
 
 _log = structlog.get_logger()
 
@@ -78,7 +78,7 @@
     version: int
 
 
-class WeightKeeper:
+class WeightUpdater:
     """
     Sends load orders with the fencing number of the lease.
 
@@ -93,10 +93,10 @@
         self,
         view: ClusterView,
         engines: Engines,
-        lives: EngineLives,
+        lives: EngineTimeouts,
         lease: DutyLease,
         holder: str,
-        keep_runs: Callable[[str], bool],
+        retain_running: Callable[[str], bool],
         oldest_allowed: Callable[[str], int],
     ) -> None:
         self._view = view
@@ -104,7 +104,7 @@
         self._lives = lives
         self._lease = lease
         self._holder = holder
-        self._keep_runs = keep_runs
+        self._keep_runs = retain_running
         self._oldest_allowed = oldest_allowed
         self._engine_weights: EngineTable[_EngineWeights] = view.memory.table(
             _EngineWeights
@@ -226,7 +226,7 @@
             load.version,
             self._holder,
             held.fence,
-            state.orders_taken,
+            state.accepted_orders,
             self._keep_runs(load.model),
         )
         began = boot_time()
@@ -238,7 +238,7 @@
             version=load.version,
             before=state.versions.get(load.model),
             fence=held.fence,
-            orders_taken=state.orders_taken,
+            orders_taken=state.accepted_orders,
             outcome=outcome,
         )
         match outcome:
@@ -271,7 +271,7 @@
         incarnation.
         """
         state = await self._engines.state(engine)
-        if state is None or state.is_of(engine):
+        if state is None or state.belongs_to(engine):
             return state
         _log.info(
             "report_of_another_life",
--- a/packages/saddledoord/src/saddledoord/samples/runner.py
+++ b/packages/saddledoord/src/saddledoord/samples/runner.py
@@ -16,7 +16,7 @@
     Sample,
     SampleSpec,
     Slot,
-    StepBook,
+    StepDelivery,
     Trainer,
     WorkClass,
     longest_first,
@@ -87,7 +87,7 @@
         self._peers = peers
 
     def start(
-        self, trainer: Trainer, step: int, book: StepBook, version: int
+        self, trainer: Trainer, step: int, book: StepDelivery, version: int
     ) -> StepRun:
         """
         Start to run the missing samples of a step.
@@ -149,7 +149,7 @@
         runner: SampleRunner,
         trainer: Trainer,
         step: int,
-        book: StepBook,
+        book: StepDelivery,
         version: int,
     ) -> None:
         self.book = book
@@ -163,7 +163,7 @@
         self._changed = asyncio.Event()
         self._task = asyncio.create_task(self._run())
 
-    def reopen(self, book: StepBook, version: int) -> None:
+    def reopen(self, book: StepDelivery, version: int) -> None:
         """
         Continue with a new book, after the trainer has submitted the step again.
         """
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -8,9 +8,9 @@
 
 from builders import make_job, make_job_state
 from saddledoor import (
+    CheckpointedText,
     GeneratedEvent,
-    ItemKept,
-    KeptParts,
+    ItemCheckpoint,
     StoredText,
     decode_events,
 )
@@ -23,7 +23,7 @@
     """
 
     def __init__(self) -> None:
-        self.records: list[ItemKept] = []
+        self.records: list[ItemCheckpoint] = []
         self.texts: list[bytes] = []
         self._written = []
 
@@ -73,7 +73,7 @@
     Guards against a gap when the previous owner's last events arrive late.
     """
     run, writer = _run(3), _Writer()
-    run.keep(writer)
+    run.persist(writer)
     writer.finish()
     run.state.kept[run.item.item_id] = KeptParts(2, (1,), "another", ())
     _add_events(run, 2)
--- a/tests/test_known_ends.py
+++ b/tests/test_log_freshness.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from saddledoord.jobs.known_ends import KnownEnds, LogView
-from saddledoord.standstills import Standstills
+from saddledoord.jobs.log_freshness import LogFreshness, LogReadState
+from saddledoord.process_pauses import ProcessPauses
 
 
 _NOW = 100.0
@@ -68,7 +68,7 @@
     The first task that runs after the pause already sees it.
     """
     clock = _Clock()
-    standstills = Standstills(clock)
+    standstills = ProcessPauses(clock)
     assert standstills.ended_at == _NEVER
     clock.now += 4.0
     assert standstills.ended_at == clock.now
@@ -81,7 +81,7 @@
     Late timers alone do not count as a process pause.
     """
     clock = _Clock()
-    standstills = Standstills(clock)
+    standstills = ProcessPauses(clock)
     for _ in range(10):
         clock.now += 0.3
         assert standstills.count == 0
@@ -92,10 +92,10 @@
     Only reads soon after the process pause count as delayed by it.
     """
     clock = _Clock()
-    standstills = Standstills(clock)
+    standstills = ProcessPauses(clock)
     clock.now += 4.0
-    assert standstills.held_up() == pytest.approx(4.0)
+    assert standstills.read_delay() == pytest.approx(4.0)
     clock.now += 0.1
-    assert standstills.held_up() == pytest.approx(4.0)
+    assert standstills.read_delay() == pytest.approx(4.0)
     clock.now += 0.2
-    assert standstills.held_up() == 0.0
+    assert standstills.read_delay() == 0.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -17,7 +17,7 @@
     make_job_state,
     make_route,
 )
-from saddledoor import EngineMemory, GatewayService, Incarnation, least_outstanding
+from saddledoor import EngineTables, GatewayService, Incarnation, least_outstanding
 from saddledoord._clock import boot_time
 from saddledoord.cluster.view import ClusterView
 from saddledoord.jobs.item_run import ItemRun
@@ -46,17 +46,17 @@
         for index, version in enumerate(versions):
             entry = make_engine_entry(f"e-{index}", versions={"model-a": version})
             self.view.apply_engine(KeyedEntry(entry.engine_id, index, entry))
-        self.paces = EnginePaces(self.view.memory)
+        self.paces = EnginePaces(self.view.engine_tables)
         pool = EnginePool(self.view, least_outstanding(lambda: 0.0))
         self.silent: set[Incarnation] = set()
         self.placement = Placement(self.view, pool, self.paces, self.silent)
         self._oldest = oldest
         self.run = self.item()
 
-    def item(self, expected_tokens: int = 2000, known_since: float = 0.0) -> ItemRun:
+    def item(self, expected_tokens: int = 2000, first_seen_at: float = 0.0) -> ItemRun:
         job = replace(make_job(1), oldest_version=self._oldest)
         item = replace(job.items[0], expected_tokens=expected_tokens)
-        return ItemRun.begin(make_job_state(job, known_since), item)
+        return ItemRun.begin(make_job_state(job, first_seen_at), item)
 
     def pace(self, engine_id: str, gap: float) -> None:
         self.paces.observe(Incarnation(engine_id), gap, boot_time())
@@ -162,7 +162,7 @@
     """
     A stream pauses while its engine loads weights.
     """
-    paces, engine = EnginePaces(EngineMemory()), Incarnation("e-1")
+    paces, engine = EnginePaces(EngineTables()), Incarnation("e-1")
     paces.observe(engine, 0.04, 10.0)
     paces.observe(engine, 0.9, 10.9)
     assert paces.gap(engine, 11.0) == 0.04
--- a/tests/test_spread_texts.py
+++ b/tests/test_spread_texts.py
@@ -15,19 +15,19 @@
 import pytest
 from fake_log import FakeLog
 
-from builders import make_job, make_opened
+from builders import make_job, make_job_opened
 from saddledoor import (
-    ItemListed,
     ItemResult,
-    JobBook,
+    ItemResultRecorded,
     JobEnded,
+    JobFold,
     StoredText,
     encode_job_record,
 )
-from saddledoord.cluster.changes import Changes
-from saddledoord.jobs.service import JobReading, JobService, Unsure
+from saddledoord.cluster.change_notifier import ChangeNotifier
+from saddledoord.jobs.service import JobResultsPage, JobService, JobStateUnknown
 from saddledoord.jobs.texts import TextStore
-from saddledoord.ports import StoreAwayError
+from saddledoord.ports import StoreUnavailableError
 
 
 #: Bandwidth of a node's link to the store, in bytes per second.
@@ -61,12 +61,14 @@
         self._sending = asyncio.Lock()
         self._left = fail_after
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        page = await super().read(stream, start, wait, largest, patience)
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
+        page = await super().read(stream, start, wait, max_bytes, answer_timeout)
         if stream == "texts":
             self._left -= 1
             if self._left < 0:
-                raise StoreAwayError("too slow")
+                raise StoreUnavailableError("too slow")
             async with self._sending:
                 await asyncio.sleep(sum(map(len, page.records)) / _BANDWIDTH)
         return page
@@ -94,12 +96,12 @@
     """
     log = FakeLog(largest_record=_LARGEST)
     for name in names:
-        records = [make_opened(make_job(_ITEMS, name))]
+        records = [make_job_opened(make_job(_ITEMS, name))]
         for n in range(_ITEMS):
             place = len(log.records["texts"])
             log.records["texts"] += [_text(n).encode(), bytes(_GAP)]
             result = ItemResult(f"item-{n}", True, StoredText((place,), _TEXT))
-            records.append(ItemListed(name, result))
+            records.append(ItemResultRecorded(name, result))
         records.append(JobEnded(name))
         log.records["jobs"] += map(encode_job_record, records)
     return log
@@ -111,7 +113,7 @@
 
 async def _read_page(
     jobs: JobService, position: int, job_id: str = "job-a"
-) -> JobReading | None:
+) -> JobResultsPage | None:
     """
     Read a page of results; None if the call times out or is refused.
     """
@@ -120,7 +122,7 @@
             reading = await jobs.read(job_id, position, 0.0)
     except TimeoutError:
         return None
-    return reading if isinstance(reading, JobReading) else None
+    return reading if isinstance(reading, JobResultsPage) else None
 
 
 async def _read_whole(read_page, max_calls: int) -> list[str]:
