--- a/packages/saddledoord/src/saddledoord/duties/usage_counter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_counter.py
@@ -97,5 +97,5 @@
         if not isinstance(outcome, Appended):
             _log.info("usage_not_written", reason=outcome.reason)
             # Records that were written all the same have no effect when repeated.
-            self._meter.give_back(records)
+            self._meter.requeue(records)
             self._has_counts.set()
--- a/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
@@ -74,7 +74,7 @@
         self._counter = counter
         self._windows = windows
         self._holder = holder
-        self._book = UsageBook()
+        self._book = UsageFold()
         self._next_offset = 0
         self._sent: set[int] = set()
         self._failing_since: float | None = None
@@ -185,7 +185,7 @@
         while True:
             try:
                 page = await self._log.read(USAGE_STREAM, self._next_offset)
-            except LogGoneError as error:
+            except LogTruncatedError as error:
                 self._next_offset = error.first
                 continue
             for record in page.records:
--- a/packages/saddledoord/src/saddledoord/filters/claim.py
+++ b/packages/saddledoord/src/saddledoord/filters/claim.py
@@ -157,5 +157,5 @@
         return await ledger.outcome(owner.claim_id, wait) or key_spent
     try:
         return await peers.outcome(address, owner.claim_id, wait) or key_spent
-    except PeerAwayError:
+    except PeerUnavailableError:
         return key_spent
--- a/packages/saddledoord/src/saddledoord/filters/collect.py
+++ b/packages/saddledoord/src/saddledoord/filters/collect.py
@@ -53,7 +53,7 @@
             builder.end(_ATTEMPT)
     answer = builder.whole()
     runs = tuple((r.version, r.first, r.last) for r in answer.runs) if answer else None
-    trace(Streamed(attempt_id, max_tokens, tuple(traced), runs))
+    trace(AnswerStreamed(attempt_id, max_tokens, tuple(traced), runs))
     if answer is None:
         return OutcomeUnknown(ResultCode.ANSWER_CUT, "the stream had no end marker")
     return answer
--- a/packages/saddledoord/src/saddledoord/jobs/appending.py
+++ b/packages/saddledoord/src/saddledoord/jobs/appending.py
@@ -21,8 +21,8 @@
 _log = structlog.get_logger()
 
 #: Initial and longest timeout of an append, in seconds; doubled at each retry.
-_PATIENCE = 0.5
-_PATIENCE_MOST = 4.0
+_TIMEOUT = 0.5
+_MAX_TIMEOUT = 4.0
 #: Pause after an append without acknowledgement, in seconds.
 _PAUSE = 0.1
 
@@ -35,10 +35,10 @@
 
     :param deadline: Time after which no retry starts, monotonic, in seconds.
     :returns: The position of the acknowledged copy.
-    :raises StoreAwayError: If none is acknowledged by the deadline; the log may
+    :raises StoreUnavailableError: If none is acknowledged by the deadline; the log may
         still hold the records.
     """
-    answer_timeout = _PATIENCE
+    answer_timeout = _TIMEOUT
     outcome = await log.append(stream, records, answer_timeout)
     while not isinstance(outcome, Appended):
         if boot_time() >= deadline:
@@ -52,6 +52,6 @@
         )
         await asyncio.sleep(_PAUSE)
         left = max(_PAUSE, deadline - boot_time())
-        answer_timeout = min(_PATIENCE_MOST, 2 * answer_timeout, left)
+        answer_timeout = min(_MAX_TIMEOUT, 2 * answer_timeout, left)
         outcome = await log.append(stream, records, answer_timeout)
     return outcome
--- a/packages/saddledoord/src/saddledoord/jobs/attempt.py
+++ b/packages/saddledoord/src/saddledoord/jobs/attempt.py
@@ -43,7 +43,7 @@
 #: Urgency of items; the platform's default is 5.
 _URGENCY = 5
 #: Outcomes which show that the engine has run the item and has not crashed.
-_ANSWERED = frozenset({GenerationFailedError.FAILED, GenerationFailedError.IMPOSSIBLE})
+_ANSWERED = frozenset({GenerationFailedError.FAILED, GenerationFailedError.REJECTED})
 #: Outcomes which show that the engine has not run the item, so the item cannot have
 #: caused a crash of it.
 _NOT_RUN = frozenset(
@@ -65,11 +65,11 @@
         engines: Engines,
         paces: EnginePaces,
         placement: Placement,
-        lives: EngineTimeouts,
-        ends: EngineCrashWatch,
+        timeouts: EngineTimeouts,
+        crashes: EngineCrashWatch,
     ) -> None:
-        self._ends = ends
-        self._lives = lives
+        self._crashes = crashes
+        self._timeouts = timeouts
         self._engines = engines
         self._paces = paces
         self._placement = placement
@@ -81,8 +81,8 @@
         :raises GenerationFailedError: If the text is still incomplete.
         """
         try:
-            with self._ends.track_run(engine.incarnation, run.key) as at_engine:
-                async with self._lives.within(engine.incarnation):
+            with self._crashes.track_run(engine.incarnation, run.key) as at_engine:
+                async with self._timeouts.within(engine.incarnation):
                     await self._run_tracked(run, route, engine, at_engine)
         except TimeoutError:
             raise GenerationFailedError(
--- a/packages/saddledoord/src/saddledoord/jobs/item_loader.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_loader.py
@@ -26,7 +26,7 @@
 _PAUSE = 0.1
 #: Longest pause after a read of undecodable items, in seconds; doubled at each retry.
 #: A retry helps only if the bytes were damaged in transit.
-_PAUSE_MOST = 10.0
+_MAX_PAUSE = 10.0
 
 
 class ItemLoader:
@@ -83,7 +83,7 @@
                 if pause == _PAUSE:
                     self._note_unreadable(state, error)
             await asyncio.sleep(pause)
-            pause = min(_PAUSE_MOST, 2 * pause)
+            pause = min(_MAX_PAUSE, 2 * pause)
 
     def _note_unreadable(self, state: JobState, error: UndecodableRecordError) -> None:
         self._unreadable += 1
--- a/packages/saddledoord/src/saddledoord/jobs/item_run.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_run.py
@@ -88,17 +88,19 @@
         """
         Read the events in the log, so that the next attempt resumes after them.
 
-        :raises StoreAwayError: If they cannot be read now.
+        :raises StoreUnavailableError: If they cannot be read now.
         :raises UndecodableRecordError: If they cannot be decoded.
         """
         if self.loaded:
             return
-        kept = self.logged_parts
-        data = await texts.read(kept.parts)
+        logged = self.logged_parts
+        data = await texts.read(logged.parts)
         events = tuple(event for part in data for event in decode_events(part))
-        self.text = EventText(_new_chain(), KeptText(events, kept.versions, kept.chain))
-        self.persisted = kept.count
-        self.persisted_chain = kept.chain
+        self.text = EventText(
+            _new_chain(), TextSegment(events, logged.versions, logged.chain)
+        )
+        self.persisted = logged.count
+        self.persisted_chain = logged.chain
         self.loaded = True
 
     @cached_property
@@ -112,7 +114,7 @@
         )
 
     @property
-    def logged_parts(self) -> KeptParts:
+    def logged_parts(self) -> CheckpointedText:
         """
         The events of the text in the log, as far as this node has read it.
         """
--- a/packages/saddledoord/src/saddledoord/jobs/log_freshness.py
+++ b/packages/saddledoord/src/saddledoord/jobs/log_freshness.py
@@ -12,7 +12,7 @@
 
 __all__ = ["LogFreshness", "LogReadState"]
 
-#: Freshness limit while the store is reachable, as a share of the cancel time.
+#: Freshness limit while the store is reachable, as a share of the cancel limit.
 _FRESH_SHARE = 2 / 3
 #: Freshness limit for items while the store is unreachable, in seconds. No job can end
 #: then, but another node may have claimed this node's share.
@@ -24,9 +24,9 @@
     """
     How far this node has read the jobs' log; times are monotonic, in seconds.
 
-    :param confirmed_at: When this node last had read the whole log.
+    :param synced_at: When this node last had read the whole log.
     :param reached: Whether the store answered the last read.
-    :param awake_since: When the process last resumed after a pause.
+    :param resumed_at: When the process last resumed after a pause.
     """
 
     synced_at: float
@@ -43,19 +43,21 @@
     other nodes may have ended jobs.
 
     :param read_state: Returns how far the log has been read.
-    :param cancel_time: Time after the end of a job from which no work of it may reach
+    :param cancel_limit: Time after the end of a job from which no work of it may reach
         an engine, in seconds.
     """
 
-    def __init__(self, read_state: Callable[[], LogView], cancel_time: float) -> None:
+    def __init__(
+        self, read_state: Callable[[], LogReadState], cancel_limit: float
+    ) -> None:
         self._read_state = read_state
-        self.set_cancel_time(cancel_time)
+        self.set_cancel_limit(cancel_limit)
 
     def set_cancel_limit(self, cancel_limit: float) -> None:
         """
-        Change the cancel time, in seconds.
+        Change the cancel limit, in seconds.
         """
-        self._fresh_for = _FRESH_SHARE * cancel_time
+        self._fresh_for = _FRESH_SHARE * cancel_limit
 
     def may_start(self, now: float) -> bool:
         """
@@ -74,7 +76,7 @@
 
     def _is_fresh(self, now: float, limit_unreachable: float) -> bool:
         view = self._read_state()
-        if view.confirmed_at < view.awake_since:
+        if view.synced_at < view.resumed_at:
             return False
         limit = self._fresh_for if view.reached else limit_unreachable
-        return now - view.confirmed_at < limit
+        return now - view.synced_at < limit
--- a/packages/saddledoord/src/saddledoord/jobs/placement.py
+++ b/packages/saddledoord/src/saddledoord/jobs/placement.py
@@ -49,9 +49,9 @@
         view: ClusterView,
         pool: EnginePool,
         paces: EnginePaces,
-        silent: UnresponsiveEngines,
+        unresponsive: UnresponsiveEngines,
     ) -> None:
-        self._silent = silent
+        self._unresponsive = unresponsive
         self._view = view
         self._pool = pool
         self._paces = paces
@@ -76,17 +76,17 @@
 
     def reserve(self, run: ItemRun, engine: EngineEntry) -> Reservation:
         """
-        Reserve a place at an engine for an item.
+        Reserve a slot at an engine for an item.
         """
-        place = self._pool.take(engine, run.state.job.model)
+        reservation = self._pool.reserve(engine, run.state.job.model)
         running = self._running[engine.incarnation]
         running.add(run)
 
-        def release_place() -> None:
-            place.release()
+        def release_reservation() -> None:
+            reservation.release()
             running.discard(run)
 
-        return Place(release_place)
+        return Reservation(release_reservation)
 
     def note_started(self, engine: EngineEntry, model: str) -> None:
         """
@@ -102,7 +102,7 @@
         seen = self._seen_versions[engine.incarnation]
         if version > seen.get(model, 0):
             # The load has ended, so the engine accepts items of the model again.
-            self._pool.answered(engine, model)
+            self._pool.record_success(engine, model)
             seen[model] = version
 
     def update_is_long(self, run: ItemRun) -> None:
@@ -119,7 +119,7 @@
         It is the arrival of the job minus the expected time to generate the rest of the
         text, so that long texts and old jobs start first across all trainers.
         """
-        return run.state.known_since - self._events_left(run) * self._reference_gap()
+        return run.state.first_seen_at - self._events_left(run) * self._reference_gap()
 
     def choose(
         self, run: ItemRun, route: GatewayRoute, exclude: Collection[Incarnation]
@@ -139,10 +139,12 @@
             and self._is_new_enough(engine, run)
             and self._is_responsive(engine.incarnation, now)
         }
-        seats = {self._seat(engine, now): engine for engine in engines.values()}
+        candidates = {
+            self._candidate(engine, now): engine for engine in engines.values()
+        }
         best = self._paces.best_gap(engines, now)
-        seat = choose_placement(list(seats), best, run.is_long)
-        return seats[seat] if seat is not None else None
+        candidate = choose_placement(list(candidates), best, run.is_long)
+        return candidates[candidate] if candidate is not None else None
 
     def find_alternative(self, run: ItemRun, engine: EngineEntry) -> EngineEntry | None:
         """
@@ -166,20 +168,20 @@
         gap_there = self._paces.gap(other.incarnation, now)
         if gap_there is None:
             return None
-        left = self._events_left(run)
-        worth = is_worth_moving(left, gap, gap_there, run.pace_moves)
+        remaining_events = self._events_left(run)
+        worth = is_worth_moving(remaining_events, gap, gap_there, run.pace_moves)
         return other if worth else None
 
     def _is_responsive(self, engine: Incarnation, now: float) -> bool:
         """
         Whether an engine still makes events, as far as this node knows.
         """
-        if engine in self._silent:
+        if engine in self._unresponsive:
             return False
         streams = any(run.has_events for run in self._running[engine])
         return not streams or self._paces.silent_for(engine, now) <= _MAX_QUIET
 
-    def _seat(self, engine: EngineEntry, now: float) -> PlacementCandidate:
+    def _candidate(self, engine: EngineEntry, now: float) -> PlacementCandidate:
         return PlacementCandidate(
             engine.engine_id,
             self._pool.in_flight(engine),
--- a/packages/saddledoord/src/saddledoord/jobs/record_writer.py
+++ b/packages/saddledoord/src/saddledoord/jobs/record_writer.py
@@ -111,7 +111,7 @@
                 encode_job_record(queued.record_of(position))
                 for queued, position in zip(batch, positions, strict=True)
             ]
-            await append_until_done(self._log, JOBS_STREAM, records)
+            await append_until_acknowledged(self._log, JOBS_STREAM, records)
             for queued in batch:
                 queued.written()
             if not self._queue:
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -77,10 +77,10 @@
         jobs: JobService,
         view: ClusterView,
         pool: EnginePool,
-        silent: UnresponsiveEngines,
+        unresponsive: UnresponsiveEngines,
         placement: Placement,
         attempts: AttemptRunner,
-        ends: EngineCrashWatch,
+        crashes: EngineCrashWatch,
         writer: RecordWriter,
         texts: TextStore,
         scorer: Scorer,
@@ -90,14 +90,14 @@
         self._jobs = jobs
         self._view = view
         self._pool = pool
-        self._silent = silent
+        self._unresponsive = unresponsive
         self._writer = writer
         self._texts = texts
         self._scorer = scorer
         self._owns = owns
         self._log_freshness = log_freshness
         self._attempts = attempts
-        self._ends = ends
+        self._crashes = crashes
         self._placement = placement
         self._runs: dict[ItemKey, ItemRun] = {}
         self._items = ItemLoader(jobs, self.wake)
@@ -117,7 +117,7 @@
         while True:
             self._wake.clear()
             # After a process pause, read first which items have crashed engines.
-            await self._ends.ask()
+            await self._crashes.refresh()
             self._reconcile()
             if self._may_start():
                 self._dispatch()
@@ -152,7 +152,7 @@
             for run in self._runs.values():
                 busy = run.result_queued or run.persisting
                 if run.unpersisted >= _MIN_NEW_EVENTS and not busy:
-                    run.keep(self._writer)
+                    run.persist(self._writer)
 
     def _waiting(self) -> bool:
         return any(run.is_idle for run in self._runs.values())
@@ -230,13 +230,13 @@
             if requirements in unavailable and not run.ineligible:
                 continue
             self._placement.update_is_long(run)
-            standing = self._ends.standing(run.key)
-            if standing is Standing.BARRED:
+            poison_status = self._crashes.poison_status(run.key)
+            if poison_status is PoisonStatus.QUARANTINED:
                 self._log_quarantined(run)
                 continue
             engine = self._choose(run, route, poison_status)
             if engine is None:
-                if standing is not Standing.UNCLEAR:
+                if poison_status is not PoisonStatus.AMBIGUOUS:
                     unavailable.add(requirements)
                 run.ineligible.clear()
                 continue
@@ -249,13 +249,13 @@
         Return an engine for an item, or None.
 
         A suspect goes to an engine without other suspects if there is one; an item
-        whose standing is unclear goes to no other engine.
+        whose status is ambiguous goes to no other engine.
         """
-        if standing is Standing.FREE:
+        if poison_status is PoisonStatus.CLEAN:
             return self._placement.choose(run, route, run.ineligible)
-        suspects = self._ends.with_suspects(run.key)
+        suspects = self._crashes.engines_with_suspects(run.key)
         isolated = self._placement.choose(run, route, run.ineligible | suspects)
-        if isolated is not None or standing is Standing.UNCLEAR:
+        if isolated is not None or poison_status is PoisonStatus.AMBIGUOUS:
             return isolated
         return self._placement.choose(run, route, run.ineligible)
 
@@ -272,15 +272,19 @@
         )
 
     def _begin(self, run: ItemRun, route: GatewayRoute, engine: EngineEntry) -> None:
-        place = self._placement.reserve(run, engine)
+        reservation = self._placement.reserve(run, engine)
         run.engines.append(engine.engine_id)
         run.times.enter(ItemPhase.FIRST_EVENT, boot_time())
-        run.task = asyncio.create_task(self._run_item(run, route, engine, place))
-        run.task.add_done_callback(lambda task: self._task_ended(run, task, place))
+        run.task = asyncio.create_task(self._run_item(run, route, engine, reservation))
+        run.task.add_done_callback(
+            lambda task: self._task_ended(run, task, reservation)
+        )
 
-    def _task_ended(self, run: ItemRun, task: asyncio.Task, place: Place) -> None:
-        # A task that is cancelled before its first step has not released its place.
-        place.release()
+    def _task_ended(
+        self, run: ItemRun, task: asyncio.Task, reservation: Reservation
+    ) -> None:
+        # A task that is cancelled before its first step has not released it.
+        reservation.release()
         if not task.cancelled() and task.exception() is not None:
             _log.error(
                 "item_task_failed",
@@ -293,16 +297,20 @@
         self.wake()
 
     def _is_expired(self, run: ItemRun, route: GatewayRoute) -> bool:
-        if route.give_up_after is None:
+        if route.max_item_age is None:
             return False
         # Monotonic: the wall clock may jump and differs between VMs.
-        age = boot_time() - run.state.known_since
-        return age > route.give_up_after
+        age = boot_time() - run.state.first_seen_at
+        return age > route.max_item_age
 
     async def _run_item(
-        self, run: ItemRun, route: GatewayRoute, engine: EngineEntry, place: Place
+        self,
+        run: ItemRun,
+        route: GatewayRoute,
+        engine: EngineEntry,
+        reservation: Reservation,
     ) -> None:
-        with place:
+        with reservation:
             try:
                 await self._load(run)
                 # The process may have been paused during the read.
@@ -354,7 +362,7 @@
             case GenerationFailedError.NOT_STARTED:
                 self._pool.record_refusal(engine, run.state.job.model)
             case GenerationFailedError.STALLED:
-                self._silent.probe(engine)
+                self._unresponsive.probe(engine)
             case GenerationFailedError.SLOW | GenerationFailedError.RESTARTED:
                 pass
             case GenerationFailedError.FAILED:
@@ -364,7 +372,7 @@
                 self._give_up(run)
             case _:
                 self._pool.record_failure(engine)
-                self._silent.probe(engine)
+                self._unresponsive.probe(engine)
 
     def _count_failure(self, run: ItemRun) -> None:
         job, item_id = run.state.job, run.item.item_id
@@ -376,11 +384,11 @@
 
     async def _finish(self, run: ItemRun) -> None:
         job_id, item = run.state.job.job_id, run.item
-        mark = ""
+        signature = ""
         if item.score is not None:
             run.times.enter(ItemPhase.SCORE, boot_time())
             try:
-                mark = await self._scorer.score(
+                signature = await self._scorer.score(
                     item.score,
                     run.state.score_failures(item.item_id),
                     lambda: self._writer.put(
@@ -398,7 +406,7 @@
         self._writer.put_with_text(
             run.text.text.encode(),
             lambda text: ItemResultRecorded(
-                job_id, ItemResult(item.item_id, True, text, versions, mark)
+                job_id, ItemResult(item.item_id, True, text, versions, signature)
             ),
             lambda: self._log_group(run),
         )
--- a/packages/saddledoord/src/saddledoord/jobs/scoring.py
+++ b/packages/saddledoord/src/saddledoord/jobs/scoring.py
@@ -28,7 +28,7 @@
 #: Initial and longest backoff between attempts of a scoring call, in seconds; doubled
 #: at each retry.
 _PAUSE = 0.05
-_PAUSE_MOST = 0.4
+_MAX_PAUSE = 0.4
 #: Most instances that one attempt of a call may be sent to.
 _MAX_INSTANCES = 2
 #: Status of a failed call, which counts against the route's limit of attempts.
@@ -60,12 +60,12 @@
         may_call: Callable[[], bool],
     ) -> str:
         """
-        Return the mark of the first successful answer.
+        Return the signature of the first successful answer.
 
         :param failures: Number of failed calls so far, by any node.
         :param on_failure: Called after each further failure.
         :param may_call: Tells whether the call may be sent now.
-        :raises ScoreImpossibleError: After as many failures as the route allows.
+        :raises ScoringFailedError: After as many failures as the route allows.
         """
         pause = _PAUSE
 
@@ -85,7 +85,7 @@
                 await asyncio.sleep(_NO_ROUTE_PAUSE)
                 continue
             if failures >= route.max_attempts:
-                raise ScoreImpossibleError(call.request_id)
+                raise ScoringFailedError(call.request_id)
             # A slow instance may get a hedge at a second one, within the route's limit
             # of failures.
             allowed = min(_MAX_INSTANCES, route.max_attempts - failures)
@@ -103,7 +103,7 @@
                 ):
                     return signature
             await asyncio.sleep(pause)
-            pause = min(_PAUSE_MOST, 2 * pause)
+            pause = min(_MAX_PAUSE, 2 * pause)
 
 
 def _request(call: ScoreCall) -> ForwardedRequest:
--- a/packages/saddledoord/src/saddledoord/jobs/service.py
+++ b/packages/saddledoord/src/saddledoord/jobs/service.py
@@ -131,7 +131,7 @@
     """
     Answers callers from the job state of this node, after a read of the log if needed.
 
-    :param read_for: Age up to which an ended job may be read, in seconds.
+    :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log retains records, in seconds.
     :param store_is_silent: Tells whether the store has not answered lately.
     :param runs_jobs: Tells whether this node owns any share of the jobs.
@@ -207,7 +207,7 @@
         """
         Change the ages up to which jobs may be read and records are retained.
         """
-        self._retain_ended = read_for + _RETENTION_MARGIN
+        self._retain_ended = result_retention + _RETENTION_MARGIN
         self._retain_open = max(self._retain_ended, retention)
 
     def on_change(self, changed) -> None:
@@ -276,7 +276,7 @@
                 break
             await self._changes.wait(job_id, deadline - boot_time())
         if position >= len(state.results) and not await self._follower.sync():
-            return Unsure()
+            return JobStateUnknown()
         results = _page_from(state.results, position)
         try:
             texts = await self._texts.read_first(
@@ -344,7 +344,7 @@
         """
         Return a job's items by id, and read them from the log at the first call.
 
-        :raises StoreAwayError: If they cannot be read now.
+        :raises StoreUnavailableError: If they cannot be read now.
         :raises UndecodableRecordError: If they cannot be decoded.
         """
         if state.items is None:
@@ -402,7 +402,7 @@
         try:
             items = encode_job_items(job.items)
             (stored,) = await self._texts.write([items], deadline)
-        except StoreAwayError as error:
+        except StoreUnavailableError as error:
             # Without the second record the items never run.
             return NotRun(ResultCode.LOG_AWAY, str(error), _RETRY_AFTER)
         opened = encode_job_record(JobOpened.of(job, stored))
@@ -423,7 +423,7 @@
             match outcome:
                 case Appended():
                     return Accepted()
-                case UnknownAppend(reason=reason):
+                case AppendOutcomeUnknown(reason=reason):
                     may_be_logged = True
                 case NotAppended(reason=reason):
                     pass
--- a/packages/saddledoord/src/saddledoord/jobs/texts.py
+++ b/packages/saddledoord/src/saddledoord/jobs/texts.py
@@ -64,7 +64,8 @@
 
         :param deadline: Time after which no retry starts, monotonic, in seconds.
         :returns: The position of each text.
-        :raises StoreAwayError: If the log has not acknowledged them by the deadline.
+        :raises StoreUnavailableError: If the log has not acknowledged them by the
+            deadline.
         """
         split = [self._split(text) for text in texts]
         pieces = list(chain.from_iterable(split))
@@ -78,7 +79,7 @@
         """
         Return the data of texts.
 
-        :raises StoreAwayError: If one cannot be read now.
+        :raises StoreUnavailableError: If one cannot be read now.
         """
         wanted = sorted({offset for text in texts for offset in text.offsets})
         found = {o: self._cache[o] for o in wanted if o in self._cache}
@@ -99,7 +100,7 @@
 
         :param deadline: Time after which no further page is read, monotonic, in
             seconds.
-        :raises StoreAwayError: If the first text cannot be read now.
+        :raises StoreUnavailableError: If the first text cannot be read now.
         """
         read: list[bytes] = []
         found: dict[int, bytes] = {}
@@ -112,7 +113,7 @@
                 for offset in missing:
                     if offset not in found:
                         await self._read_page(offset, asked, found)
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 if not read:
                     raise
                 _log.info("texts_read_in_part", read=len(read), reason=str(error))
@@ -136,7 +137,9 @@
         offsets: list[int] = []
         for begin in range(0, len(pieces), self._records_per_append):
             group = pieces[begin : begin + self._records_per_append]
-            done = await append_until_done(self._log, TEXTS_STREAM, group, deadline)
+            done = await append_until_acknowledged(
+                self._log, TEXTS_STREAM, group, deadline
+            )
             for index, piece in enumerate(group):
                 self._add_to_cache(done.offset + index, piece)
                 offsets.append(done.offset + index)
@@ -150,7 +153,7 @@
 
         :param asked: When the caller's request began, monotonic, in seconds; a read of
             another caller that failed since then counts for it as well.
-        :raises StoreAwayError: If the record at the offset cannot be read now.
+        :raises StoreUnavailableError: If the record at the offset cannot be read now.
         """
         async with self._read_lock:
             # Another caller may have read it, or failed to, during the wait.
@@ -158,17 +161,17 @@
                 found[offset] = self._cache[offset]
                 return
             if self._failed_at > asked:
-                raise StoreAwayError("a concurrent read of texts failed")
+                raise StoreUnavailableError("a concurrent read of texts failed")
             try:
                 page = await self._log.read(
                     TEXTS_STREAM, offset, max_bytes=self._page_size.current
                 )
             except LogTruncatedError as error:
                 _log.error("text_gone", offset=offset, first=error.first)
-                raise StoreAwayError(
+                raise StoreUnavailableError(
                     f"text {offset} was dropped from the log"
                 ) from None
-            except StoreAwayError:
+            except StoreUnavailableError:
                 self._failed_at = boot_time()
                 self._page_size.failed()
                 raise
--- a/packages/saddledoord/src/saddledoord/orders/weights.py
+++ b/packages/saddledoord/src/saddledoord/orders/weights.py
@@ -85,7 +85,8 @@
     Each order is for one incarnation of an engine and carries the number of orders that
     it has accepted, so that the engine refuses an order that arrives after a newer one.
 
-    :param keep_runs: Whether running texts of a model may continue under new weights.
+    :param retain_running: Tells whether running texts of a model may continue under new
+        weights.
     :param oldest_allowed: Returns the oldest version that a model's newest job allows.
     """
 
@@ -93,7 +94,7 @@
         self,
         view: ClusterView,
         engines: Engines,
-        lives: EngineTimeouts,
+        timeouts: EngineTimeouts,
         lease: DutyLease,
         holder: str,
         retain_running: Callable[[str], bool],
@@ -101,12 +102,12 @@
     ) -> None:
         self._view = view
         self._engines = engines
-        self._lives = lives
+        self._timeouts = timeouts
         self._lease = lease
         self._holder = holder
-        self._keep_runs = retain_running
+        self._retain_running = retain_running
         self._oldest_allowed = oldest_allowed
-        self._engine_weights: EngineTable[_EngineWeights] = view.memory.table(
+        self._engine_weights: EngineTable[_EngineWeights] = view.engine_tables.table(
             _EngineWeights
         )
         self._tasks: set[asyncio.Task] = set()
@@ -132,8 +133,8 @@
             in_progress = [
                 load for load in loads if load.engine.service == service.name
             ]
-            free = engines_at_once(len(engines)) - len(in_progress)
-            for name, model in wanted_loads(self._weights_of(service, engines)):
+            free = max_concurrent_loads(len(engines)) - len(in_progress)
+            for name, model in plan_weight_loads(self._weights_of(service, engines)):
                 if free <= 0:
                     break
                 weights = self._engine_weights[engines[name].incarnation]
@@ -199,7 +200,7 @@
 
     async def _run_load(self, load: _Load) -> None:
         try:
-            async with self._lives.within(load.engine.incarnation):
+            async with self._timeouts.within(load.engine.incarnation):
                 await self._send_order_if_needed(load)
         except TimeoutError:
             _log.info(
@@ -227,7 +228,7 @@
             self._holder,
             held.fence,
             state.accepted_orders,
-            self._keep_runs(load.model),
+            self._retain_running(load.model),
         )
         began = boot_time()
         outcome = await self._engines.order(load.engine, order)
@@ -244,7 +245,7 @@
         match outcome:
             case OrderOutcome.FENCED:
                 self._lease.note_fenced(held.fence)
-            case OrderOutcome.TAKEN | OrderOutcome.UNKNOWN:
+            case OrderOutcome.ACCEPTED | OrderOutcome.UNKNOWN:
                 await self._await_load(load, began)
             case OrderOutcome.CONFLICT | OrderOutcome.REFUSED:
                 self._pause_engine(load)
--- a/packages/saddledoord/src/saddledoord/samples/collector.py
+++ b/packages/saddledoord/src/saddledoord/samples/collector.py
@@ -204,7 +204,7 @@
             reply = await self._peers.collect(
                 address, request, _FORWARD_TIMEOUT + _longest_wait(operation)
             )
-        except PeerAwayError as error:
+        except PeerUnavailableError as error:
             # Both operations are idempotent, so an unknown outcome is answered as not
             # run and the caller repeats the operation.
             return NotRun(ResultCode.NO_COLLECTOR, str(error), 0.3)
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -35,8 +35,8 @@
     ),
     Guard(
         "no work is sent after a process pause before a read of the log",
-        f"{DAEMON}/jobs/known_ends.py",
-        "if view.confirmed_at < view.awake_since:",
+        f"{DAEMON}/jobs/log_freshness.py",
+        "if view.synced_at < view.resumed_at:",
         "if False:",
         (PROCESS_PAUSES, "stood_still_sends_nothing"),
     ),
@@ -86,7 +86,7 @@
     Guard(
         "reads of undecodable items back off",
         f"{DAEMON}/jobs/item_loader.py",
-        "pause = min(_PAUSE_MOST, 2 * pause)",
+        "pause = min(_MAX_PAUSE, 2 * pause)",
         "pass",
         (UNREADABLE, "told_of_once"),
     ),
@@ -194,7 +194,7 @@
     Guard(
         "a silent engine is not eligible until it answers",
         f"{DAEMON}/jobs/placement.py",
-        "if engine in self._silent:",
+        "if engine in self._unresponsive:",
         "if False:",
         ("tests/test_placement.py", "gone_silent"),
     ),
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -67,9 +67,9 @@
     paces.observe(Incarnation("fast"), 0.001, boot_time())
     job = make_job(1)
     run = ItemRun.begin(make_job_state(job), job.items[0])
-    lives = EngineTimeouts(view)
+    timeouts = EngineTimeouts(view)
     attempts = AttemptRunner(
-        _Engines(events, gap), paces, _Placement(), lives, make_crash_watch(view)
+        _Engines(events, gap), paces, _Placement(), timeouts, make_crash_watch(view)
     )
     route = make_route("/train/")
     asyncio.run(attempts.run(run, route, make_engine_entry("slow")))
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -49,8 +49,8 @@
         assert run.text.take(GeneratedEvent(number, f"e{number}", 1), 1)
 
 
-def _record_checkpoint(run: ItemRun, record: ItemKept) -> None:
-    kept = KeptParts(record.count, record.versions, record.chain, (record.text,))
+def _record_checkpoint(run: ItemRun, record: ItemCheckpoint) -> None:
+    kept = CheckpointedText(record.count, record.versions, record.chain, (record.text,))
     run.state.kept[run.item.item_id] = kept
 
 
@@ -59,11 +59,11 @@
     Guards against an event that is written twice.
     """
     run, writer = _run(3), _Writer()
-    run.keep(writer)
+    run.persist(writer)
     _record_checkpoint(run, writer.records[0])
     writer.finish()
     _add_events(run, 2)
-    run.keep(writer)
+    run.persist(writer)
     assert [(r.first, r.count) for r in writer.records] == [(1, 3), (4, 2)]
     assert writer.records[1].follows == writer.records[0].chain
 
@@ -75,9 +75,9 @@
     run, writer = _run(3), _Writer()
     run.persist(writer)
     writer.finish()
-    run.state.kept[run.item.item_id] = KeptParts(2, (1,), "another", ())
+    run.state.kept[run.item.item_id] = CheckpointedText(2, (1,), "another", ())
     _add_events(run, 2)
-    run.keep(writer)
+    run.persist(writer)
     record = writer.records[1]
     assert (record.first, record.count, record.follows) == (1, 5, "")
     assert decode_events(writer.texts[1]) == ("e1", "e2", "e3", "e4", "e5")
@@ -88,7 +88,7 @@
     Guards against a repeated write of events whose append is in flight.
     """
     run, writer = _run(3), _Writer()
-    run.keep(writer)
+    run.persist(writer)
     _add_events(run, 2)
-    run.keep(writer)
+    run.persist(writer)
     assert [(r.first, r.count) for r in writer.records] == [(1, 3), (4, 2)]
--- a/tests/test_job_items.py
+++ b/tests/test_job_items.py
@@ -41,7 +41,7 @@
     def __init__(self, log: FakeLog) -> None:
         texts = TextStore(log, largest_record=1000, largest_append=4000)
         self.jobs = JobService(
-            log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false
+            log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _false, _false
         )
 
     @asynccontextmanager
--- a/tests/test_log_freshness.py
+++ b/tests/test_log_freshness.py
@@ -17,9 +17,9 @@
 
 
 def _make_freshness(age: float, reached: bool = True, resumed_for: float | None = None):
-    awake_since = _NEVER if resumed_for is None else _NOW - resumed_for
-    view = LogView(_NOW - age, reached, awake_since)
-    return KnownEnds(lambda: view, cancel_time=3.0)
+    resumed_at = _NEVER if resumed_for is None else _NOW - resumed_for
+    view = LogReadState(_NOW - age, reached, resumed_at)
+    return LogFreshness(lambda: view, cancel_limit=3.0)
 
 
 @pytest.mark.parametrize(
@@ -68,12 +68,12 @@
     The first task that runs after the pause already sees it.
     """
     clock = _Clock()
-    standstills = ProcessPauses(clock)
-    assert standstills.ended_at == _NEVER
+    pauses = ProcessPauses(clock)
+    assert pauses.ended_at == _NEVER
     clock.now += 4.0
-    assert standstills.ended_at == clock.now
+    assert pauses.ended_at == clock.now
     clock.now += 0.1
-    assert (standstills.ended_at, standstills.count) == (_NOW + 4.0, 1)
+    assert (pauses.ended_at, pauses.count) == (_NOW + 4.0, 1)
 
 
 def test_a_busy_event_loop_is_not_a_process_pause():
@@ -81,10 +81,10 @@
     Late timers alone do not count as a process pause.
     """
     clock = _Clock()
-    standstills = ProcessPauses(clock)
+    pauses = ProcessPauses(clock)
     for _ in range(10):
         clock.now += 0.3
-        assert standstills.count == 0
+        assert pauses.count == 0
 
 
 def test_a_read_right_after_a_process_pause_may_be_delayed_by_all_of_it():
@@ -92,10 +92,10 @@
     Only reads soon after the process pause count as delayed by it.
     """
     clock = _Clock()
-    standstills = ProcessPauses(clock)
+    pauses = ProcessPauses(clock)
     clock.now += 4.0
-    assert standstills.read_delay() == pytest.approx(4.0)
+    assert pauses.read_delay() == pytest.approx(4.0)
     clock.now += 0.1
-    assert standstills.read_delay() == pytest.approx(4.0)
+    assert pauses.read_delay() == pytest.approx(4.0)
     clock.now += 0.2
-    assert standstills.read_delay() == 0.0
+    assert pauses.read_delay() == 0.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -85,7 +85,7 @@
     setup = _Setup([1, 2], oldest=2)
     assert setup.chosen() == "e-1"
     assert setup.chosen("e-1") is None
-    setup.placement.saw(make_engine_entry("e-0"), "model-a", 2)
+    setup.placement.note_version(make_engine_entry("e-0"), "model-a", 2)
     assert setup.chosen("e-1") == "e-0"
 
 
@@ -123,7 +123,7 @@
     setup = _Setup([1, 1])
     engine = make_engine_entry("e-0")
     now = boot_time()
-    setup.placement.take(setup.run, engine)
+    setup.placement.reserve(setup.run, engine)
     setup.run.times.enter(ItemPhase.EVENTS, now)
     setup.paces.observe(engine.incarnation, None, now)
     other = setup.item()
@@ -140,7 +140,7 @@
     """
     setup = _Setup([1])
     short, long = setup.item(expected_tokens=500), setup.item(expected_tokens=9000)
-    later = setup.item(expected_tokens=500, known_since=1.0)
+    later = setup.item(expected_tokens=500, first_seen_at=1.0)
     order = sorted([later, short, long], key=setup.placement.latest_start)
     assert order == [long, short, later]
 
@@ -151,10 +151,10 @@
     """
     setup = _Setup([1, 1])
     first = setup.chosen()
-    place = setup.placement.take(setup.run, make_engine_entry(first))
+    reservation = setup.placement.reserve(setup.run, make_engine_entry(first))
     assert setup.chosen() != first
-    place.release()
-    place.release()
+    reservation.release()
+    reservation.release()
     assert setup.chosen() == first
 
 
--- a/tests/test_spread_texts.py
+++ b/tests/test_spread_texts.py
@@ -80,7 +80,9 @@
     Run a node with an empty cache of texts.
     """
     texts = TextStore(log, largest_record=_LARGEST, largest_append=8 * _LARGEST)
-    jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false)
+    jobs = JobService(
+        log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _false, _false
+    )
     task = asyncio.create_task(jobs.run())
     await jobs.sync()
     try:
@@ -208,7 +210,7 @@
         async with _node(_SlowLink(log, fail_after=0)) as jobs:
             return await jobs.read("job-a", 0, 0.0)
 
-    assert isinstance(asyncio.run(run_scenario()), Unsure)
+    assert isinstance(asyncio.run(run_scenario()), JobStateUnknown)
 
 
 class _SmallPageLog(FakeLog):
@@ -221,10 +223,12 @@
         self.records = log.records
         self._max_page = max_page
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        if stream == "texts" and largest > self._max_page:
-            raise StoreAwayError("too slow")
-        return await super().read(stream, start, wait, largest, patience)
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
+        if stream == "texts" and max_bytes > self._max_page:
+            raise StoreUnavailableError("too slow")
+        return await super().read(stream, start, wait, max_bytes, answer_timeout)
 
 
 def test_texts_are_read_in_smaller_pages_after_a_timeout():
