--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -32,12 +32,12 @@
         ("tests/adapter/test_edge_unreached_engines.py", "did_not_reach"),
     ),
     Guard(
-        "a barred item reaches no engine",
+        "a quarantined item reaches no engine",
         f"{DAEMON}/jobs/runner.py",
-        """                self._log_barred(run)
+        """                self._log_quarantined(run)
                 continue
 """,
-        "                self._log_barred(run)\n",
+        "                self._log_quarantined(run)\n",
         (CRASHING, "item_that_ends_engines"),
     ),
     Guard(
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-One attempt at an item, before an engine that is a generator.
+Attempts at a job item, with an engine that makes events at a fixed pace.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 class _Engines:
     """
-    Engines that make events at a pace.
+    Engines that make a number of events at a fixed pace.
     """
 
     def __init__(self, events: int, gap: float) -> None:
@@ -39,37 +39,37 @@
 
 class _Placement:
     """
-    There is always room at another engine.
+    A placement that always offers another, faster engine.
     """
 
     def __init__(self) -> None:
         self.versions: list[int] = []
 
-    def started(self, engine, model):
+    def note_started(self, engine, model):
         pass
 
     def note_version(self, engine, model, version):
         self.versions.append(version)
 
-    def weigh(self, run):
+    def update_is_long(self, run):
         pass
 
-    def elsewhere(self, run, engine):
+    def find_alternative(self, run, engine):
         return make_engine_entry("fast")
 
-    def faster(self, run, engine):
+    def find_faster(self, run, engine):
         return make_engine_entry("fast")
 
 
-def _play(events: int, gap: float) -> ItemRun:
+def _run_attempt(events: int, gap: float) -> ItemRun:
     view = ClusterView()
     paces = EnginePaces(view.engine_tables)
     paces.observe(Incarnation("fast"), 0.001, boot_time())
     job = make_job(1)
     run = ItemRun.begin(make_job_state(job), job.items[0])
-    lives = EngineTimeouts(view)
+    timeouts = EngineTimeouts(view)
     attempts = AttemptRunner(
-        _Engines(events, gap), paces, _Placement(), lives, make_crash_watch(view)
+        _Engines(events, gap), paces, _Placement(), timeouts, make_crash_watch(view)
     )
     route = make_route("/train/")
     asyncio.run(attempts.run(run, route, make_engine_entry("slow")))
@@ -78,15 +78,15 @@
 
 def test_a_short_text_does_not_move_for_a_faster_engine():
     """
-    It would be made whole at once where it is.
+    A move would cost more than the rest of the text.
     """
-    assert _play(events=5, gap=0.02).text.last == 5
+    assert _run_attempt(events=5, gap=0.02).text.last == 5
 
 
 def test_a_long_text_moves_to_a_much_faster_engine():
     """
-    Once it has stayed for a quarter of a second.
+    The attempt ends as slow after the shortest stay at an engine.
     """
     with pytest.raises(GenerationFailedError) as caught:
-        _play(events=40, gap=0.02)
+        _run_attempt(events=40, gap=0.02)
     assert caught.value.outcome == GenerationFailedError.SLOW
