--- a/packages/saddledoord/src/saddledoord/cluster/__init__.py
+++ b/packages/saddledoord/src/saddledoord/cluster/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-What the nodes agree on: the log's records, discovery, configuration, ownership.
+Follows the shared state of all nodes: configuration, engines, leases, work shares.
 """
--- a/packages/saddledoord/src/saddledoord/cluster/changes.py
+++ b/packages/saddledoord/src/saddledoord/cluster/changes.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Wakes whoever waits for news of a key.
+Notifies waiting tasks of changes by key.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 class Changes:
     """
-    One event per key, replaced each time it is set.
+    Wakes the tasks that wait for the next change of a key.
     """
 
     @property
     def awaited(self) -> bool:
         """
-        Whether somebody waits for news of any key.
+        Whether a task waits for a change of any key.
         """
         return self._waiting > 0
 
@@ -30,7 +30,7 @@
 
     def notify(self, key: str) -> None:
         """
-        Wake everyone who waits for this key.
+        Wake all tasks that wait for a key.
         """
         event = self._events.pop(key, None)
         if event is not None:
@@ -38,7 +38,9 @@
 
     async def wait(self, key: str, timeout: float) -> None:
         """
-        Wait for the key's next news, or until the time is up, in seconds.
+        Wait for the next change of a key.
+
+        :param timeout: Longest wait, in seconds.
         """
         event = self._events.setdefault(key, asyncio.Event())
         self._waiting += 1
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Follows a stream or a registry of the store, across outages.
+Follows a stream or a registry of the store across outages.
 """
 
 from __future__ import annotations
@@ -33,49 +33,47 @@
 
 _log = structlog.get_logger()
 
-#: How long a read waits at the store for news, in seconds. Short, since a silent store
-#: is only noticed when the answer is overdue.
-_WAIT = 1.0
+#: How long a read waits at the store for new records, in seconds. An unavailable store
+#: is noticed only after this wait and the answer timeout.
+_READ_WAIT = 1.0
 #: Longest wait for a page of the first replay, in seconds: all nodes may start at once
-#: and share the store's link, and 70 of them get 1 MB each in 0.9 s.
-_PATIENCE_REPLAY = 3.0
-#: The same while the store is lost, in seconds, so that its return is noticed soon; one
-#: that is slowed down 60 times takes 0.24 s.
-_PATIENCE_LOST = 0.4
-#: How long a caller waits for the first replay of a stream, in seconds: a caller's
-#: own patience for an answer is a second or two.
-_REPLAY_PATIENCE = 1.0
-#: Pause after a read that failed, in seconds.
-_PAUSE = 0.1
-#: Pause after news of a registry, in seconds. 39 engines write their entries 32 times a
-#: second, and each entry would end the waiting read of every node; an engine that
-#: leaves serves for 2 s more.
-_REGISTRY_GATHER = 0.2
-
-
-class _Reachable:
+#: and share the store's bandwidth.
+_REPLAY_ANSWER_TIMEOUT = 3.0
+#: Longest wait for an answer while the store is unavailable, in seconds; short, so that
+#: its return is noticed soon.
+_OUTAGE_ANSWER_TIMEOUT = 0.4
+#: How long a caller waits for the first replay of a stream, in seconds.
+_REPLAY_WAIT = 1.0
+#: Pause after a failed read, in seconds.
+_RETRY_PAUSE = 0.1
+#: Pause after a change of a registry, in seconds, in which further changes are
+#: collected: engines renew their entries all the time.
+_REGISTRY_BATCH_DELAY = 0.2
+
+
+class _Reachability:
     """
-    Notes when the store is lost and regained, one log line each.
+    Tracks whether the store answers, and logs each change.
     """
 
     def __init__(self, name: str, on_change: Callable[[bool], None]) -> None:
         self._name = name
         self._on_change = on_change
-        self._reached = True
+        self._is_reachable = True
 
     @property
     def reached(self) -> bool:
-        return self._reached
+        return self._is_reachable
 
     def answered(self) -> None:
-        if not self._reached:
-            self._reached = True
+        if not self._is_reachable:
+            self._is_reachable = True
             _log.info("store_regained", reading=self._name)
             self._on_change(True)
 
     def failed(self, reason: str) -> None:
-        if self._reached:
-            self._reached = False
+        if self._is_reachable:
+            self._is_reachable = False
             _log.warning("store_lost", reading=self._name, reason=reason)
             self._on_change(False)
 
@@ -84,23 +82,25 @@
     pass
 
 
-def _at_once() -> float:
+def _no_delay() -> float:
     return 0.0
 
 
 class LogFollower:
     """
-    Applies a stream's records in order, each once.
+    Applies the records of a stream in order, each of them once.
 
-    A record that cannot be read is logged, counted and passed over: it must not hide
-    what comes behind it, at this start or any later one.
+    A record that cannot be decoded is logged, counted and skipped, so that it does not
+    block the records after it.
 
-    :param apply: Called with each record and its offset; raises
-        `UndecodableRecordError` for one that it cannot read.
-    :param reachable: Told when the store is lost (false) and regained (true).
-    :param wait: How long a read waits at the store for news, in seconds.
+    :param apply: Called with each offset and record; raises `UndecodableRecordError`
+        for a record that it cannot decode.
+    :param on_reachable: Called with false when the store becomes unavailable, and with
+        true when it answers again.
+    :param wait: How long a read waits at the store for new records, in seconds.
     :param patience: Longest wait for an answer beyond that, in seconds.
-    :param gather: Returns the pause after news, in seconds, for more to come.
+    :param gather: Returns the pause after new records, in seconds, in which
+        further records are collected.
     """
 
     def __init__(
@@ -108,13 +108,13 @@
         log: SharedLog,
         stream: str,
         apply: Callable[[int, bytes], None],
-        reachable: Callable[[bool], None] = _ignore,
-        wait: float = _WAIT,
+        on_reachable: Callable[[bool], None] = _ignore,
+        wait: float = _READ_WAIT,
         patience: float = USUAL_PATIENCE,
-        gather: Callable[[], float] = _at_once,
+        gather: Callable[[], float] = _no_delay,
     ) -> None:
         self._wait = wait
-        self._gather = gather
+        self._batch_delay = gather
         self._patience = patience
         self._log = log
         self._stream = stream
@@ -122,46 +122,46 @@
         self._next = 0
         self._skipped = 0
         self._page_size = PageSize(LARGEST_PAGE)
-        self._reach = _Reachable(stream, reachable)
+        self._reachability = _Reachability(stream, on_reachable)
         self._caught_up = asyncio.Event()
-        self._began = boot_time()
-        self._syncing = asyncio.Lock()
-        self._confirmed_at = float("-inf")
-        self._asked_at = float("-inf")
+        self._started_at = boot_time()
+        self._sync_lock = asyncio.Lock()
+        self._synced_at = float("-inf")
+        self._last_read_at = float("-inf")
 
     @property
     def reached(self) -> bool:
         """
         Whether the store answered the last read.
         """
-        return self._reach.reached
+        return self._reachability.reached
 
     @property
     def skipped(self) -> int:
         """
-        Records that could not be read, a count.
+        Number of records that could not be decoded.
         """
         return self._skipped
 
     @property
     def confirmed_at(self) -> float:
         """
-        When everything in the log was known, monotonic, in seconds.
+        When all records of the log were last known, monotonic, in seconds.
         """
-        return self._confirmed_at
+        return self._synced_at
 
     @property
-    def asked_at(self) -> float:
+    def last_read_at(self) -> float:
         """
-        When the newest read began that has ended, whether it was answered or not,
-        monotonic, in seconds.
+        Start of the newest read that has ended, answered or not, monotonic, in
+        seconds.
         """
-        return self._asked_at
+        return self._last_read_at
 
     @property
     def caught_up(self) -> bool:
         """
-        Whether everything that was in the log at the start has been applied.
+        Whether all records that were in the log at the start have been applied.
         """
         return self._caught_up.is_set()
 
@@ -170,66 +170,65 @@
         Follow until cancelled.
         """
         while True:
-            began = boot_time()
+            started_at = boot_time()
             try:
-                page = await self._read_on()
+                page = await self._read_next()
             except StoreAwayError as error:
-                self._reach.failed(str(error))
-                await asyncio.sleep(_PAUSE)
+                self._reachability.failed(str(error))
+                await asyncio.sleep(_RETRY_PAUSE)
                 continue
-            self._reach.answered()
-            self._take(page, began)
+            self._reachability.answered()
+            self._apply_page(page, started_at)
             if page.records and self.caught_up:
-                await asyncio.sleep(self._gather())
+                await asyncio.sleep(self._batch_delay())
 
     async def sync(self) -> bool:
         """
-        Apply everything that was in the log when this was called.
+        Apply all records that were in the log when this was called.
 
-        Callers that wait for each other share reads: one that began after a call
-        answers it as well.
+        Concurrent callers share reads: a read that starts after a call serves it, too.
 
-        :returns: False if the store did not answer; then nothing is sure.
+        :returns: False if the store did not answer.
         """
-        asked = boot_time()
-        if not await self._replayed():
+        called_at = boot_time()
+        if not await self._wait_for_replay():
             return False
-        async with self._syncing:
-            while self._confirmed_at < asked:
+        async with self._sync_lock:
+            while self._synced_at < called_at:
                 try:
-                    began = boot_time()
-                    self._take(await self._read(0.0, self._patience), began)
+                    started_at = boot_time()
+                    self._apply_page(await self._read(0.0, self._patience), started_at)
                 except StoreAwayError:
                     return False
         return True
 
-    async def _replayed(self) -> bool:
+    async def _wait_for_replay(self) -> bool:
         """
-        Wait a while for the first replay, which `run` makes.
+        Wait for the first replay, which `run` performs; false if it takes too long.
         """
         try:
-            async with asyncio.timeout(_REPLAY_PATIENCE):
+            async with asyncio.timeout(_REPLAY_WAIT):
                 await self._caught_up.wait()
         except TimeoutError:
             return False
         return True
 
-    async def _read_on(self) -> LogPage:
+    async def _read_next(self) -> LogPage:
         if not self.caught_up:
-            return await self._read(0.0, _PATIENCE_REPLAY)
+            return await self._read(0.0, _REPLAY_ANSWER_TIMEOUT)
         if not self.reached:
-            return await self._read(0.0, _PATIENCE_LOST)
+            return await self._read(0.0, _OUTAGE_ANSWER_TIMEOUT)
         return await self._read(self._wait, self._patience)
 
     async def _read(self, wait: float, patience: float) -> LogPage:
-        began = boot_time()
+        started_at = boot_time()
         try:
             page = await self._page(wait, patience)
         except StoreAwayError:
             self._page_size.failed()
             raise
         finally:
-            self._asked_at = max(self._asked_at, began)
+            self._last_read_at = max(self._last_read_at, started_at)
         self._page_size.answered()
         return page
 
@@ -239,14 +238,14 @@
             return await self._log.read(self._stream, self._next, wait, size, patience)
         except LogGoneError as error:
             _log.warning("records_gone", stream=self._stream, first=error.first)
-            # Another read may have gone on meanwhile.
+            # A concurrent read may have advanced meanwhile.
             self._next = max(self._next, error.first)
             return await self._log.read(self._stream, self._next, 0.0, size)
 
-    def _take(self, page: LogPage, began: float) -> None:
+    def _apply_page(self, page: LogPage, started_at: float) -> None:
         for index, record in enumerate(page.records):
             offset = page.start + index
-            # A second read may have brought it meanwhile.
+            # A concurrent read may have applied it already.
             if offset >= self._next:
                 self._next = offset + 1
                 self._apply_record(offset, record)
@@ -254,15 +253,15 @@
             if not self.caught_up:
                 self._log_caught_up()
             self._caught_up.set()
-            # The answer may have been held up on its way, the question not.
-            self._confirmed_at = max(self._confirmed_at, began)
+            # The start of the read counts: its answer may have been delayed.
+            self._synced_at = max(self._synced_at, started_at)
 
     def _log_caught_up(self) -> None:
         _log.info(
             "caught_up",
             reading=self._stream,
             records=self._next,
-            seconds=round(boot_time() - self._began, 3),
+            seconds=round(boot_time() - self._started_at, 3),
         )
 
     def _apply_record(self, offset: int, record: bytes) -> None:
@@ -283,8 +282,9 @@
     Applies the newest value of every key of a registry.
 
     :param apply: Called with each change that is newer than the key's last one.
-    :param replaced: Called with the keys there are after all were read anew.
-    :param reachable: Told when the store is lost (false) and regained (true).
+    :param on_reload: Called with the existing keys after all keys have been read.
+    :param on_reachable: Called with false when the store becomes unavailable, and with
+        true when it answers again.
     """
 
     def __init__(
@@ -292,38 +292,38 @@
         registry: Registry,
         name: str,
         apply: Callable[[KeyedEntry], None],
-        replaced: Callable[[set[str]], None] = lambda keys: None,
-        reachable: Callable[[bool], None] = _ignore,
+        on_reload: Callable[[set[str]], None] = lambda keys: None,
+        on_reachable: Callable[[bool], None] = _ignore,
     ) -> None:
         self._registry = registry
         self._name = name
         self._apply = apply
-        self._replaced = replaced
+        self._on_reload = on_reload
         self._offsets: dict[str, int] = {}
         self._next: int | None = None
-        self._known = False
-        self._confirmed_at = float("-inf")
+        self._is_loaded = False
+        self._synced_at = float("-inf")
         self._skipped = 0
-        self._reach = _Reachable(name, reachable)
+        self._reachability = _Reachability(name, on_reachable)
 
     @property
     def confirmed_at(self) -> float:
         """
-        When every change there was had been applied, monotonic, in seconds.
+        When all changes of the registry were last known, monotonic, in seconds.
         """
-        return self._confirmed_at
+        return self._synced_at
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """
         Whether all keys have been read at least once.
         """
-        return self._known
+        return self._is_loaded
 
     @property
     def skipped(self) -> int:
         """
-        Changes that could not be used, a count.
+        Number of changes that could not be used.
         """
         return self._skipped
 
@@ -332,39 +332,39 @@
         Follow until cancelled.
         """
         while True:
-            began = boot_time()
+            started_at = boot_time()
             try:
                 page = await self._page()
             except StoreAwayError as error:
-                self._reach.failed(str(error))
-                # Entries may lapse while nobody can read: look at all of them after.
+                self._reachability.failed(str(error))
+                # Entries may expire unseen during an outage: read all of them after it.
                 self._next = None
-                await asyncio.sleep(_PAUSE)
+                await asyncio.sleep(_RETRY_PAUSE)
                 continue
-            self._reach.answered()
-            self._take(page)
+            self._reachability.answered()
+            self._apply_page(page)
             if page.is_end:
-                self._confirmed_at = began
+                self._synced_at = started_at
             if page.entries:
-                await asyncio.sleep(_REGISTRY_GATHER)
+                await asyncio.sleep(_REGISTRY_BATCH_DELAY)
 
     async def _page(self) -> KeyedPage:
         if self._next is None:
             return await self._registry.newest()
         try:
-            return await self._registry.changes(self._next, _WAIT)
+            return await self._registry.changes(self._next, _READ_WAIT)
         except LogGoneError as error:
             _log.warning("records_gone", reading=self._name, first=error.first)
             return await self._registry.newest()
 
-    def _take(self, page: KeyedPage) -> None:
+    def _apply_page(self, page: KeyedPage) -> None:
         self._next = page.next_offset
         for entry in page.entries:
-            # Pages of the newest values are no snapshot: they may run ahead.
+            # A page of newest values is no snapshot: later changes may be among them.
             if entry.offset > self._offsets.get(entry.key, -1):
                 self._offsets[entry.key] = entry.offset
                 self._skipped += isinstance(entry.value, Unusable)
                 self._apply(entry)
         if page.whole:
-            self._known = True
-            self._replaced({entry.key for entry in page.entries})
+            self._is_loaded = True
+            self._on_reload({entry.key for entry in page.entries})
--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-All leases of the gateway, as the log has them.
+Claims, renews and releases the gateway's leases in the log.
 """
 
 from __future__ import annotations
@@ -28,86 +28,90 @@
 
 __all__ = ["LeaseLog"]
 
-#: The stream that holds the leases' records.
+#: The stream of lease records.
 CONTROL_STREAM = "control"
-#: Between a machine's name and what tells its processes apart.
-_INCARNATION = "#"
-#: How long a read of the stream waits for news, in seconds. It is also how often this
-#: node hears of the store at least, so that it notices the store's silence.
-_WAIT = 0.2
+#: Separates the machine's name from the process's token in a holder's name.
+_PROCESS_SEPARATOR = "#"
+#: How long a read of the stream waits for new records, in seconds. An available store
+#: is heard of at least this often, so that an outage is noticed soon.
+_READ_WAIT = 0.2
 
 
-#: Longest wait for an answer, in seconds: a store that is slowed down 60 times takes
-#: 0.24 s, and only reading the log shows what became of an append anyway.
-_PATIENCE = 0.5
+#: Longest wait for an answer of the store, in seconds.
+_ANSWER_TIMEOUT = 0.5
 
 
 class LeaseLog:
     """
-    Follows the leases, and appends what this process does about them.
+    Follows all leases and manages those of this process.
 
-    :param machine: Names this machine, so that no other one has the same name.
+    :param machine: Unique name of this machine.
     """
 
     def __init__(self, log: SharedLog, machine: str) -> None:
         self._log = log
         self._machine = machine
-        # Another incarnation is another holder.
-        self._holder = f"{machine}{_INCARNATION}{secrets.token_hex(4)}"
+        # Each process of a machine is a different holder.
+        self._holder = f"{machine}{_PROCESS_SEPARATOR}{secrets.token_hex(4)}"
         self._fold = LeaseFold()
         self._watches: dict[str, LeaseWatch] = {}
         self._regained_at = float("-inf")
         self._changes = Changes()
-        self._other: Callable[[object], None] = lambda record: None
+        self._on_other_record: Callable[[object], None] = lambda record: None
         self._follower = LogFollower(
-            log, CONTROL_STREAM, self._apply, self._store_reached, _WAIT, _PATIENCE
+            log,
+            CONTROL_STREAM,
+            self._apply,
+            self._on_store_reachable,
+            _READ_WAIT,
+            _ANSWER_TIMEOUT,
         )
 
     @property
     def caught_up(self) -> bool:
         """
-        Whether the leases taken before this process began are known.
+        Whether the leases claimed before this process started are known.
         """
         return self._follower.caught_up
 
     @property
     def reached(self) -> bool:
         """
-        Whether the store answered the last read of the leases.
+        Whether the store answered the last read of the stream.
         """
         return self._follower.reached
 
     @property
     def skipped(self) -> int:
         """
-        Records of leases that could not be read, a count.
+        Number of records that could not be decoded.
         """
         return self._follower.skipped
 
     @property
     def regained_at(self) -> float:
         """
-        When the store answered again after it had not, monotonic, in seconds.
+        When the last outage of the store ended, monotonic, in seconds.
         """
         return self._regained_at
 
     @property
-    def asked_at(self) -> float:
+    def last_read_at(self) -> float:
         """
-        When the newest read of the leases began that has ended, whether it was answered
-        or not, monotonic, in seconds.
+        Start of the newest read that has ended, answered or not, monotonic, in
+        seconds.
         """
-        return self._follower.asked_at
+        return self._follower.last_read_at
 
-    def on_other(self, fold: Callable[[object], None]) -> None:
+    def on_other_record(self, apply: Callable[[object], None]) -> None:
         """
-        Have the stream's other records folded by a function.
+        Set the function that is called with each record of the stream.
         """
-        self._other = fold
+        self._on_other_record = apply
 
     async def sync(self) -> bool:
         """
-        Learn all records there are by now; false if the store did not answer.
+        Apply all records of the log; return false if the store did not answer.
         """
         return await self._follower.sync()
 
@@ -119,26 +123,28 @@
 
     async def wait(self, timeout: float) -> None:
         """
-        Wait for news of any lease, or until the time is up, in seconds.
+        Wait for a change of any lease.
+
+        :param timeout: Longest wait, in seconds.
         """
         await self._changes.wait(CONTROL_STREAM, timeout)
 
     def get(self, name: str) -> Lease | None:
         """
-        Return a lease, or none if nobody ever held it.
+        Return a lease, or None if it was never claimed.
         """
         return self._fold.get(name)
 
     def is_mine(self, name: str) -> bool:
         """
-        Whether this process holds a lease, as far as it has read the log.
+        Whether this process holds a lease, as far as the log has been read.
         """
         lease = self.get(name)
         return lease is not None and not lease.released and lease.holder == self._holder
 
     def mine(self) -> list[str]:
         """
-        Return the leases that this process holds, as far as it has read the log.
+        Return the leases that this process holds, as far as the log has been read.
         """
         return sorted(name for name in self._fold.leases if self.is_mine(name))
 
@@ -146,16 +152,15 @@
         """
         Whether a claim may be appended now.
 
-        At once if an earlier process of this machine holds it: that one is gone, or
-        this one would not run, and nobody else may have acted since. So the term need
-        not pass, which counts after the loss of all machines.
+        A lease of an earlier process of this machine may be claimed before its term has
+        passed, since that process has ended.
 
-        :param term: Of the lease, in seconds.
+        :param term: Term of the lease, in seconds.
         """
         lease = self.get(name)
         if lease is None or lease.released:
             return True
-        machine = lease.holder.rpartition(_INCARNATION)[0]
+        machine = lease.holder.rpartition(_PROCESS_SEPARATOR)[0]
         if machine == self._machine:
             return lease.holder != self._holder
         watch = self._watches.setdefault(name, LeaseWatch(term))
@@ -163,14 +168,14 @@
 
     async def claim(self, name: str) -> Lease | None:
         """
-        Try to take a lease; return it if the claim stands.
+        Try to claim a lease; return it if the claim succeeded.
         """
         seen = self.get(name)
         claim = LeaseClaim(
             secrets.token_hex(8), name, self._holder, seen.last if seen else -1
         )
         await self._append([claim])
-        # Whatever became of the append, only the log tells whether the claim stands.
+        # Only the log shows whether the claim succeeded, whatever the append returned.
         if not await self._follower.sync():
             return None
         lease = self.get(name)
@@ -180,22 +185,22 @@
 
     async def renew(self, names: Iterable[str]) -> bool:
         """
-        Go on with leases of this process; return whether all renewals count.
+        Renew leases of this process; return whether all renewals took effect.
         """
         held = [self._fold.leases[name] for name in names]
         renewals = [LeaseRenewal(lease.name, lease.fence) for lease in held]
         outcome = await self._append(renewals)
         if not isinstance(outcome, Appended) or not await self._follower.sync():
             return False
-        now = [self._fold.leases[lease.name] for lease in held]
+        renewed = [self._fold.leases[lease.name] for lease in held]
         return all(
             lease.fence == before.fence and lease.last >= outcome.offset
-            for before, lease in zip(held, now, strict=True)
+            for before, lease in zip(held, renewed, strict=True)
         )
 
     async def release(self, names: Iterable[str]) -> None:
         """
-        Give leases of this process up, so that other nodes may take them at once.
+        Release leases of this process, so that other nodes may claim them at once.
         """
         held = [self._fold.leases[name] for name in names]
         await self._append([LeaseRelease(lease.name, lease.fence) for lease in held])
@@ -204,17 +209,17 @@
         self, records: Sequence[LeaseClaim | LeaseRenewal | LeaseRelease]
     ) -> Appended | NotAppended | UnknownAppend:
         data = [encode_record(record).encode() for record in records]
-        return await self._log.append(CONTROL_STREAM, data, _PATIENCE)
+        return await self._log.append(CONTROL_STREAM, data, _ANSWER_TIMEOUT)
 
     def _apply(self, offset: int, data: bytes) -> None:
         record = decode_record(data)
         self._fold = self._fold.apply(offset, record)
-        self._other(record)
-        # The wait for a takeover begins when the newest renewal has been read.
+        self._on_other_record(record)
+        # The term starts when the newest renewal has been read.
         for name, watch in self._watches.items():
             watch.observe(self.get(name), boot_time())
         self._changes.notify(CONTROL_STREAM)
 
-    def _store_reached(self, reached: bool) -> None:
+    def _on_store_reachable(self, reached: bool) -> None:
         if reached:
             self._regained_at = boot_time()
--- a/packages/saddledoord/src/saddledoord/cluster/lives.py
+++ b/packages/saddledoord/src/saddledoord/cluster/lives.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Ends at once what is in flight at an engine that has started again.
+Limits the time of work at an engine, and ends it at once if the engine restarts.
 """
 
 from __future__ import annotations
@@ -20,44 +20,43 @@
 
 class EngineLives:
     """
-    Limits of the time that work at an engine may take, ended with the engine's life.
+    Timeouts for work at an engine that also expire when the engine restarts.
 
-    A connection to an engine that crashed behind a cut or without power says nothing,
-    and what waits for it would wait for its own patience, up to the whole timeout of a
-    request. The entry of the engine's next life shows that nothing will come.
+    A connection to an engine that lost power or network shows nothing. The entry of the
+    engine's next incarnation shows that no answer will come.
     """
 
     def __init__(self, view: ClusterView) -> None:
         self._view = view
-        self._limits = view.memory.table(set, _expire)
+        self._timeouts = view.memory.table(set, _expire)
 
     @asynccontextmanager
     async def within(
         self, incarnation: Incarnation, seconds: float | None = None
     ) -> AsyncIterator[None]:
         """
-        Cancel the work inside when its time or the engine's life is over.
+        Cancel the work inside when its time is up or the engine has restarted.
 
-        :param seconds: For the work; none for no limit.
+        :param seconds: Time limit of the work; None for no limit.
         :raises TimeoutError: In place of the cancellation.
         """
-        limits: set[asyncio.Timeout] = self._limits[incarnation]
-        async with asyncio.timeout(seconds) as limit:
-            limits.add(limit)
+        timeouts: set[asyncio.Timeout] = self._timeouts[incarnation]
+        async with asyncio.timeout(seconds) as timeout:
+            timeouts.add(timeout)
             try:
                 yield
             finally:
-                limits.discard(limit)
+                timeouts.discard(timeout)
 
     def is_over(self, incarnation: Incarnation) -> bool:
         """
-        Return whether an engine has started again since.
+        Return whether an engine has restarted since this incarnation.
         """
         return self._view.is_over(incarnation)
 
 
-def _expire(limits: set[asyncio.Timeout]) -> None:
+def _expire(timeouts: set[asyncio.Timeout]) -> None:
     now = asyncio.get_running_loop().time()
-    for limit in limits:
-        if not limit.expired():
-            limit.reschedule(now)
+    for timeout in timeouts:
+        if not timeout.expired():
+            timeout.reschedule(now)
--- a/packages/saddledoord/src/saddledoord/cluster/store_watch.py
+++ b/packages/saddledoord/src/saddledoord/cluster/store_watch.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Notices a store that is back, and connections to it that have gone silent.
+Cancels calls to the store that will not be answered, and replaces their connections.
 
-A connection may say nothing for good while new ones work, and calls that were sent
-while the store was away are never answered. Their time limits would hold them for
-seconds; that other calls are answered shows at once that they wait in vain.
+A connection may be dead while new ones work, and calls that were sent during an outage
+are never answered. An answer to another call shows this before their timeouts do.
 """
 
 from __future__ import annotations
@@ -36,12 +35,12 @@
 
 _log = structlog.get_logger()
 
-#: A call is given up if another one is answered so long after it was due, in seconds: a
-#: store that is slowed down 60 times takes 0.24 s.
-_OVERDUE = 0.4
+#: A call is cancelled if another one is answered this long after it was due, in
+#: seconds.
+_OVERDUE_AFTER = 0.4
 
-#: What reading all keys anew may take, in seconds: several pages, one after the other.
-_LISTING = 2.0
+#: Expected duration of reading all keys of a registry, in seconds.
+_LISTING_TIME = 2.0
 
 T = TypeVar("T")
 
@@ -49,21 +48,23 @@
 @dataclass(eq=False)
 class _Call:
     """
-    A call that is not answered yet.
+    A call that has not been answered.
 
-    :param due: When a store that is well would have answered, monotonic, in seconds.
+    :param due_at: When an available store would have answered, monotonic, in
+        seconds.
+    :param is_cancelled: Whether the call was cancelled for being overdue.
     """
 
     task: asyncio.Task
-    due: float
-    given_up: bool = False
+    due_at: float
+    is_cancelled: bool = False
 
 
 class StoreWatch:
     """
-    Knows of every call to the store when it was due and when the last one was answered.
+    Tracks calls to the store and cancels those that are overdue.
 
-    :param reconnect: Has new connections used from now on.
+    :param reconnect: Called to use new connections for further calls.
     """
 
     def __init__(self, reconnect: Callable[[], None]) -> None:
@@ -78,34 +79,34 @@
         """
         return self._answered_at
 
-    async def ask(self, call: Coroutine[None, None, T], wait: float = 0.0) -> T:
+    async def call(self, call: Coroutine[None, None, T], wait: float = 0.0) -> T:
         """
         Make a call and return its answer.
 
-        :param wait: How long the store itself may wait with its answer, in seconds.
-        :raises StoreAwayError: Whatever the call raises, and if it was given up.
+        :param wait: How long the store may delay its answer, in seconds.
+        :raises StoreAwayError: If the call raises it or was cancelled as overdue.
         """
-        asked = _Call(asyncio.ensure_future(call), boot_time() + wait)
-        self._calls.add(asked)
+        pending = _Call(asyncio.ensure_future(call), boot_time() + wait)
+        self._calls.add(pending)
         try:
-            answer = await asked.task
+            answer = await pending.task
         except asyncio.CancelledError:
-            ending = asyncio.current_task().cancelling()
-            if asked.given_up and not ending:
+            cancel_requests = asyncio.current_task().cancelling()
+            if pending.is_cancelled and not cancel_requests:
                 raise StoreAwayError("silent while other calls are answered") from None
             raise
         finally:
-            self._calls.discard(asked)
+            self._calls.discard(pending)
         return answer
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """
-        Note an answer, and give up the calls that have been overdue for long.
+        Record an answer, and cancel the calls that are overdue.
         """
         now = self._answered_at = boot_time()
-        overdue = [call for call in self._calls if now - call.due > _OVERDUE]
+        overdue = [call for call in self._calls if now - call.due_at > _OVERDUE_AFTER]
         for call in overdue:
-            call.given_up = True
+            call.is_cancelled = True
             call.task.cancel()
         if overdue:
             _log.info("store_connections_silent", calls=len(overdue))
@@ -114,7 +115,7 @@
 
 class WatchedLog:
     """
-    A log whose calls are watched.
+    A log whose calls are tracked by a `StoreWatch`.
     """
 
     def __init__(self, log: SharedLog, watch: StoreWatch) -> None:
@@ -125,14 +126,16 @@
         self, stream: str, records: Sequence[bytes], patience: float = 1.5
     ) -> Appended | NotAppended | UnknownAppend:
         """
-        As `SharedLog.append`.
+        See `SharedLog.append`.
         """
         try:
-            outcome = await self._watch.ask(self._log.append(stream, records, patience))
+            outcome = await self._watch.call(
+                self._log.append(stream, records, patience)
+            )
         except StoreAwayError as error:
             return UnknownAppend(str(error))
         if isinstance(outcome, Appended):
-            self._watch.answered()
+            self._watch.record_answer()
         return outcome
 
     async def read(
@@ -144,19 +147,19 @@
         patience: float = USUAL_PATIENCE,
     ) -> LogPage:
         """
-        As `SharedLog.read`.
+        See `SharedLog.read`.
         """
         call = self._log.read(stream, start, wait, largest, patience)
-        # Whoever has more patience than usual expects a large page.
+        # A longer answer timeout than the default means that a large page is expected.
         expected = wait + max(0.0, patience - USUAL_PATIENCE)
-        page = await self._watch.ask(call, expected)
-        self._watch.answered()
+        page = await self._watch.call(call, expected)
+        self._watch.record_answer()
         return page
 
 
 class WatchedRegistry:
     """
-    A registry whose calls are watched.
+    A registry whose calls are tracked by a `StoreWatch`.
     """
 
     def __init__(self, registry: Registry, watch: StoreWatch) -> None:
@@ -165,16 +168,16 @@
 
     async def newest(self) -> KeyedPage:
         """
-        As `Registry.newest`.
+        See `Registry.newest`.
         """
-        page = await self._watch.ask(self._registry.newest(), _LISTING)
-        self._watch.answered()
+        page = await self._watch.call(self._registry.newest(), _LISTING_TIME)
+        self._watch.record_answer()
         return page
 
     async def changes(self, start: int, wait: float) -> KeyedPage:
         """
-        As `Registry.changes`.
+        See `Registry.changes`.
         """
-        page = await self._watch.ask(self._registry.changes(start, wait), wait)
-        self._watch.answered()
+        page = await self._watch.call(self._registry.changes(start, wait), wait)
+        self._watch.record_answer()
         return page
--- a/packages/saddledoord/src/saddledoord/cluster/view.py
+++ b/packages/saddledoord/src/saddledoord/cluster/view.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What this node knows of the configuration, the weights in force and the engines.
+This node's view of the configuration, the named weight versions and the engines.
 """
 
 from __future__ import annotations
@@ -30,18 +30,22 @@
 
 _log = structlog.get_logger()
 
-#: Engines of a pool up to which one node runs all its jobs, a count; the trainers of a
-#: larger one are divided. 32 engines of 12 slots make 10,000 events a second.
-_ENGINES_PER_NODE = 32
-#: How long what is known of an engine is kept once it is gone, in seconds: an entry
-#: that lapsed comes back within 2.5 s of the store's return, and whoever is leaving may
-#: go on with its last requests for many seconds.
-_REMEMBER_GONE = 60.0
+#: Largest number of engines in a pool whose jobs all run on one node; the jobs of a
+#: larger pool are divided among nodes by their series.
+_MAX_ENGINES_PER_NODE = 32
+#: How long the state of an engine is kept after its entry is gone, in seconds: it may
+#: only have expired during an outage of the store, and an engine that leaves still
+#: finishes its requests.
+_GONE_RETENTION = 60.0
 
 
 class ClusterView:
     """
-    Folded from the operator's registry and the engines' entries.
+    State that is derived from the operator's registry and the engines' entries.
+
+    :ivar directory: The engines that have an entry.
+    :ivar memory: State of engines that is dropped when an incarnation ends.
+    :ivar changed: Set at each change.
     """
 
     def __init__(self) -> None:
@@ -57,14 +61,14 @@
     @property
     def config(self) -> GatewayConfig | None:
         """
-        The newest configuration, or none before the first.
+        The newest configuration, or None before the first.
         """
         return self._config
 
     @property
     def config_since(self) -> float:
         """
-        When this node took that configuration, monotonic, in seconds.
+        When this node adopted that configuration, monotonic, in seconds.
         """
         return self._config_since
 
@@ -89,43 +93,40 @@
 
     def share_of(self, job: JobOpened) -> str:
         """
-        Return what the jobs that one node runs have in common.
+        Return the work share of a job.
 
-        One node runs all jobs of a pool of engines: it knows what each engine has, so
-        that no two nodes fill the same one, and which of the waiting items of all
-        trainers matters most. With a node for each trainer, 70 % of the items came to
-        an engine whose slots were full, and waited there for up to 1.5 s while others
-        had free ones (1,592 of 2,203 in a play with three trainers before six engines).
+        One node runs all jobs of a pool of engines, unless the pool is too large: it
+        knows the load of each engine and can order the waiting items of all jobs.
         """
         for service in self.pools():
-            if job.model in service.models and self._is_for_one_node(service):
+            if job.model in service.models and self._runs_on_one_node(service):
                 return service.name
         return job.series
 
     def shares(self) -> set[str]:
         """
-        Return the shares that need a node whether there are jobs or not.
+        Return the work shares that need a holder even without jobs.
         """
-        return {s.name for s in self.pools() if self._is_for_one_node(s)}
+        return {s.name for s in self.pools() if self._runs_on_one_node(s)}
 
-    def _is_for_one_node(self, service: GatewayService) -> bool:
+    def _runs_on_one_node(self, service: GatewayService) -> bool:
         engines = self.directory.usable(service.name, boot_time())
-        return len(engines) <= _ENGINES_PER_NODE
+        return len(engines) <= _MAX_ENGINES_PER_NODE
 
     def pools(self) -> list[GatewayService]:
         """
-        Return the services that hold models.
+        Return the services that serve models.
         """
         services = self._config.services.values() if self._config else ()
         return [service for service in services if service.models]
 
     def apply_operator(self, entry: KeyedEntry) -> None:
         """
-        Take a configuration or a named version; never an older one.
+        Apply a configuration or a named version, unless a newer one is known.
         """
         match entry.value:
             case GatewayConfig() as config:
-                self._accept(config)
+                self._adopt(config)
             case NamedVersion(model=model, version=version):
                 if version > self._named.get(model, 0):
                     self._named.pop(model, None)
@@ -135,7 +136,7 @@
 
     def apply_engine(self, entry: KeyedEntry) -> None:
         """
-        Take an engine's entry, its removal, or what names no engine any more.
+        Apply an engine's entry, its removal, or a value that is not a usable entry.
         """
         if isinstance(entry.value, EngineEntry):
             self._put_engine(entry.value)
@@ -148,7 +149,9 @@
 
     def engines_replaced(self, keys: set[str]) -> None:
         """
-        Remove the engines that have no entry any more.
+        Remove the engines that have no entry.
+
+        :param keys: Ids of the engines that have an entry.
         """
         for engine_id in self.directory.known_ids() - keys:
             self._remove_engine(engine_id, None)
@@ -156,19 +159,19 @@
 
     def is_over(self, incarnation: Incarnation) -> bool:
         """
-        Return whether an engine has started again since.
+        Return whether an engine has restarted since this incarnation.
         """
         entry = self.directory.get(incarnation.engine_id)
         return entry is not None and entry.incarnation.follows(incarnation)
 
     def store_reached(self, reached: bool) -> None:
         """
-        Note that the store was lost or regained.
+        Record that the store became unavailable or answers again.
         """
         if reached:
             self.directory.store_regained(boot_time())
 
-    def _accept(self, config: GatewayConfig) -> None:
+    def _adopt(self, config: GatewayConfig) -> None:
         if self._config is not None and config.version <= self._config.version:
             return
         self._config = config
@@ -188,45 +191,45 @@
             )
             return
         if known is None or known.incarnation != entry.incarnation:
-            self._begin_life(known, entry)
+            self._start_incarnation(known, entry)
         self._log_engine(known, entry)
 
-    def _begin_life(self, known: EngineEntry | None, entry: EngineEntry) -> None:
+    def _start_incarnation(self, known: EngineEntry | None, entry: EngineEntry) -> None:
         """
-        Forget the lives before, if there were any.
+        Drop the state of the previous incarnations.
         """
         self._gone.pop(entry.incarnation, None)
         if known is not None:
             self._gone[known.incarnation] = boot_time()
         for incarnation in self._gone:
-            # Kept in mind: what was in flight there may still tell of it.
+            # Stays in `_gone`: requests in flight there may still add state.
             if incarnation.engine_id == entry.engine_id:
                 self.memory.forget(incarnation)
 
     def _remove_engine(self, engine_id: str, offset: int | None) -> None:
         _log.info("engine_entry_gone", engine=engine_id, offset=offset)
-        self._note_gone(engine_id)
+        self._mark_gone(engine_id)
         self.directory.remove(engine_id, boot_time())
 
     def _drop_engine(self, engine_id: str) -> None:
-        # Whoever read the entry has logged the reason.
-        self._note_gone(engine_id)
+        # The reader of the entry has logged the reason.
+        self._mark_gone(engine_id)
         self.directory.drop(engine_id)
 
-    def _note_gone(self, engine_id: str) -> None:
+    def _mark_gone(self, engine_id: str) -> None:
         known = self.directory.get(engine_id)
         if known is not None:
             self._gone[known.incarnation] = boot_time()
 
     def _forget_gone(self, now: float) -> None:
         for incarnation, since in list(self._gone.items()):
-            if now - since > _REMEMBER_GONE:
+            if now - since > _GONE_RETENTION:
                 del self._gone[incarnation]
                 self.memory.forget(incarnation)
 
     def _log_engine(self, known: EngineEntry | None, entry: EngineEntry) -> None:
-        is_again = known is not None and known.incarnation != entry.incarnation
-        if known is None or is_again or known.draining != entry.draining:
+        is_restart = known is not None and known.incarnation != entry.incarnation
+        if known is None or is_restart or known.draining != entry.draining:
             _log.info(
                 "engine_entry",
                 engine=entry.engine_id,
@@ -234,5 +237,5 @@
                 address=entry.address,
                 draining=entry.draining,
                 started_at=entry.started_at,
-                again=is_again,
+                again=is_restart,
             )
--- a/packages/saddledoord/src/saddledoord/cluster/work_shares.py
+++ b/packages/saddledoord/src/saddledoord/cluster/work_shares.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which node runs what: a lease for each share of the work.
+Distributes work among the nodes by a lease for each work share.
 """
 
 from __future__ import annotations
@@ -20,45 +20,42 @@
 
 _log = structlog.get_logger()
 
+#: Prefix of the names of the leases.
 _PREFIX = "share/"
-#: Silence of a holder after which others take its share, in seconds: three renewals,
-#: and four times what an append and its reading take at a store slowed down 60 times.
+#: Term of a lease, in seconds.
 _TERM = 1.0
-#: Renewals per term, a count.
+#: Renewals per term.
 _RENEWALS = 3
-#: How often the shares are looked at if there is no news, in seconds.
-_LOOK = 0.1
-#: Longest time by which a node puts a claim off at random, in seconds, so that not all
-#: claim at once; an append that others can read takes 0.01 s.
+#: How often the leases are checked without a change, in seconds.
+_CHECK_INTERVAL = 0.1
+#: Longest random delay of a claim, in seconds, so that nodes do not claim all at once.
 _JITTER = 0.05
-#: How much longer a node of one core waits, in seconds; one of two cores waits half as
-#: long. What runs a share has its trainers' events to read, and after a loss of all
-#: machines it should be back first: a start takes 0.33 s of 2.15 cores.
+#: Delay of a claim by a node of one core, in seconds; divided by the number of cores,
+#: so that nodes with more cores claim first.
 _CORE_DELAY = 0.1
-#: How much longer a node waits for each share that it holds already, in seconds.
+#: Additional delay of a claim for each share that the node holds, in seconds.
 _HELD_DELAY = 0.05
 
 
 class WorkShares:
     """
-    Takes shares that nobody holds, keeps them, and tells which ones this node runs.
-
-    A share only says who works, not whose word counts: that the log's order decides. So
-    it stays while the store is away, and a holder that was replaced can do no harm.
-    It moves only if its holder leaves, dies or is cut off. Shares that the store dealt
-    out moved at most changes of its members, and the items that a step waited for lost
-    0.4 s a step to it (mean of 9 plays on days with trouble).
-
-    :param wanted: Names the shares that must have a holder.
-    :param taken: Awaited before a share that was taken counts as held.
-    :param changed: Awaited after the shares have changed.
-    :param cores: Processor time that this node has, as a share of one core's.
+    Claims shares that no node holds, and renews those of this node.
+
+    A share only distributes work; the order of the log decides which results count. So
+    a node keeps its shares during an outage of the store, and a holder that was
+    replaced does no harm. A share moves only if its holder stops, crashes or is cut off
+    from the store.
+
+    :param wanted: Returns the shares that must have a holder.
+    :param on_acquired: Awaited before a share that was claimed counts as held.
+    :param on_change: Awaited after the shares that this node holds have changed.
+    :param cores: Processor time of this node, in cores.
     """
 
     @property
     def any_held(self) -> bool:
         """
-        Whether this node runs any share.
+        Whether this node holds any share.
         """
         return bool(self._held)
 
@@ -66,43 +63,43 @@
         self,
         leases: LeaseLog,
         wanted: Callable[[], Iterable[str]],
-        taken: Callable[[], Awaitable[None]],
-        changed: Callable[[], Awaitable[None]],
+        on_acquired: Callable[[], Awaitable[None]],
+        on_change: Callable[[], Awaitable[None]],
         cores: float,
     ) -> None:
         self._leases = leases
         self._wanted = wanted
-        self._taken = taken
-        self._changed = changed
+        self._on_acquired = on_acquired
+        self._on_change = on_change
         self._delay = _CORE_DELAY / cores
         self._held: set[str] = set()
-        self._taking: dict[str, asyncio.Task] = {}
+        self._acquiring: dict[str, asyncio.Task] = {}
         self._renewed_at = float("-inf")
         self._claims_due: dict[tuple[str, int], float] = {}
         self._stopped = False
 
     def owns(self, share: str) -> bool:
         """
-        Tell whether this node runs a share.
+        Return whether this node holds a share.
         """
         return share in self._held
 
     async def run(self) -> None:
         """
-        Look after the shares until cancelled.
+        Claim and renew shares until cancelled.
         """
         try:
             while True:
-                await self._leases.wait(self._until_next_look())
+                await self._leases.wait(self._until_next_check())
                 if self._leases.caught_up and not self._stopped:
-                    await self._look()
+                    await self._check()
         finally:
-            for task in self._taking.values():
+            for task in self._acquiring.values():
                 task.cancel()
 
     async def release(self) -> None:
         """
-        Give all shares up for good, so that others take them at once.
+        Release all shares, so that others may claim them at once, and claim no more.
         """
         self._stopped = True
         self._held = set()
@@ -111,16 +108,16 @@
             _log.info("shares_released", shares=names)
             await self._leases.release(names)
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         held = {share for share in self._held if self._leases.is_mine(_PREFIX + share)}
         if held != self._held:
             _log.info("shares_lost", shares=sorted(self._held - held))
             self._held = held
-            await self._changed()
+            await self._on_change()
         await self._renew()
         for share in self._wanted():
             if self._leases.is_mine(_PREFIX + share):
-                self._take_up(share)
+                self._acquire(share)
             elif self._may_claim(share):
                 self._claims_due.clear()
                 await self._leases.claim(_PREFIX + share)
@@ -136,8 +133,8 @@
 
     def _may_claim(self, share: str) -> bool:
         name = _PREFIX + share
-        # A holder could not renew while the store was away, and it needs a moment to
-        # notice that it is back.
+        # A holder could not renew during an outage of the store, and needs time to
+        # notice its end.
         regained_at = self._leases.regained_at
         if not self._leases.reached or boot_time() - regained_at < _TERM:
             return False
@@ -149,28 +146,31 @@
         due = boot_time() + delay + random.uniform(0, _JITTER)
         return boot_time() >= self._claims_due.setdefault(key, due)
 
-    def _until_next_look(self) -> float:
+    def _until_next_check(self) -> float:
         now = boot_time()
         return min(
-            [_LOOK, *(due - now for due in self._claims_due.values() if due > now)]
+            [
+                _CHECK_INTERVAL,
+                *(due - now for due in self._claims_due.values() if due > now),
+            ]
         )
 
-    def _take_up(self, share: str) -> None:
+    def _acquire(self, share: str) -> None:
         """
-        Have a share count as held once the node knows what it has to know.
+        Start a task that prepares for a share and then counts it as held.
 
-        Beside the looks: the lease must be renewed meanwhile.
+        It is a task because the lease must be renewed meanwhile.
         """
-        if share in self._held or share in self._taking:
+        if share in self._held or share in self._acquiring:
             return
-        task = asyncio.create_task(self._taken_up(share))
-        self._taking[share] = task
-        task.add_done_callback(lambda task: self._taking.pop(share))
+        task = asyncio.create_task(self._finish_acquiring(share))
+        self._acquiring[share] = task
+        task.add_done_callback(lambda task: self._acquiring.pop(share))
 
-    async def _taken_up(self, share: str) -> None:
-        await self._taken()
+    async def _finish_acquiring(self, share: str) -> None:
+        await self._on_acquired()
         if self._stopped or not self._leases.is_mine(_PREFIX + share):
             return
         self._held.add(share)
         _log.info("share_taken", share=share)
-        await self._changed()
+        await self._on_change()
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -227,7 +227,7 @@
         """
         Whether this node should get callers.
         """
-        engines_known = self._entries.known
+        engines_known = self._entries.is_loaded
         caught_up = self.jobs.caught_up and self._leases.caught_up
         known = self.view.config is not None and engines_known and caught_up
         return known and not self._store_is_silent() and not self._stopping
--- a/packages/saddledoord/src/saddledoord/serving/__init__.py
+++ b/packages/saddledoord/src/saddledoord/serving/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests that are passed through to a service.
+Serves requests that are passed through to backend servers.
 """
--- a/packages/saddledoord/src/saddledoord/serving/admission.py
+++ b/packages/saddledoord/src/saddledoord/serving/admission.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Whose request it is, by its key and by how old this node's news of keys is.
+Authenticates requests by their key, within the freshness limits for keys.
 """
 
 from __future__ import annotations
@@ -20,23 +20,24 @@
 
 _log = structlog.get_logger()
 
-#: When a caller should come back to a node that knows no configuration, in seconds.
-_COME_BACK = 0.1
+#: Retry delay told to a caller while this node has no configuration, in seconds.
+_RETRY_AFTER = 0.1
 
 
 class Admission:
     """
-    Admits requests of routes and calls about jobs.
+    Admits requests of routes and calls that concern jobs.
 
-    :param known_at: Returns when this node last had all news of the operator,
+    :param synced_at: Returns when this node last had the operator's newest documents,
         monotonic, in seconds.
+    :param bounds: Freshness limits of what is known of keys.
     """
 
     def __init__(
-        self, view: ClusterView, known_at: Callable[[], float], bounds: KeyBounds
+        self, view: ClusterView, synced_at: Callable[[], float], bounds: KeyBounds
     ) -> None:
         self._view = view
-        self._known_at = known_at
+        self._synced_at = synced_at
         self._bounds = bounds
 
     def set_bounds(self, bounds: KeyBounds) -> None:
@@ -49,16 +50,16 @@
         self, route: GatewayRoute, key: str, request_id: str
     ) -> Admitted | NotRun:
         """
-        Decide on a request of a route.
+        Decide whether to admit a request of a route.
 
-        :param key: Empty without one.
-        :param request_id: For the log, which never holds a key.
+        :param key: The caller's key; empty without one.
+        :param request_id: Names the request in the log, which never holds a key.
         """
         return self._decide(route.needs_key, key, request_id)
 
     def to_jobs(self, host: str, key: str, job_id: str) -> Admitted | NotRun:
         """
-        Decide on a call about a job, which names a host and no route.
+        Decide whether to admit a call about a job, which has a host but no route.
         """
         return self._decide(self._view.jobs_need_key(host), key, job_id)
 
@@ -66,8 +67,8 @@
         config = self._view.config
         if config is None:
             code = ResultCode.NO_CONFIGURATION
-            return NotRun(code, "no configuration", _COME_BACK)
-        age = boot_time() - self._known_at()
+            return NotRun(code, "no configuration", _RETRY_AFTER)
+        age = boot_time() - self._synced_at()
         decision = admit(config.workspaces, needs_key, key, age, self._bounds)
         if isinstance(decision, NotRun):
             _log.info(
--- a/packages/saddledoord/src/saddledoord/serving/engine_choice.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_choice.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Chooses the engine of a request's next attempt, by all that is known of both.
+Chooses the engine for the next attempt of a request.
 """
 
 from __future__ import annotations
@@ -17,71 +17,74 @@
 
 __all__ = ["EngineChoice"]
 
-#: Chooses an engine that is none of some.
-Pick = Callable[[Iterable[Incarnation]], EngineEntry | None]
+#: Chooses an engine that is not among the given ones.
+_Choose = Callable[[Iterable[Incarnation]], EngineEntry | None]
 
 
 class EngineChoice:
     """
-    Chooses among the engines of a service for requests that cannot wait.
+    Chooses among the engines of a service for requests that cannot be queued.
     """
 
-    def __init__(self, pool: EnginePool, ends: EngineEndWatch) -> None:
+    def __init__(self, pool: EnginePool, crash_watch: EngineEndWatch) -> None:
         self._pool = pool
-        self._ends = ends
+        self._crash_watch = crash_watch
 
-    def another(
+    def choose_new(
         self, service: str, key: str, attempts: EngineAttempts
     ) -> EngineEntry | None:
         """
-        Return an engine that has not had a request, or none.
+        Return an engine that has not received the request, or None.
 
-        :param key: Tells the request from others when it comes again.
+        :param key: Identifies the request across attempts and nodes.
         """
         if not attempts.may_go_on():
             return None
         tried = attempts.engines
 
-        def pick(taken: Iterable[Incarnation]) -> EngineEntry | None:
-            return self._pool.choose(service, exclude=[*tried, *taken])
+        def choose(excluded: Iterable[Incarnation]) -> EngineEntry | None:
+            return self._pool.choose(service, exclude=[*tried, *excluded])
 
-        return self._choose(key, pick)
+        return self._choose_for(key, choose)
 
-    def again(
+    def choose_again(
         self, service: str, key: str, attempts: EngineAttempts
     ) -> EngineEntry | None:
         """
-        Return an engine that has had a request and may have it again now, or none.
+        Return an engine that has received the request and may receive it again now, or
+        None.
         """
         now = boot_time()
-        rested = {e for e, at in attempts.may_return_at().items() if at <= now}
+        eligible = {e for e, at in attempts.may_return_at().items() if at <= now}
 
-        def pick(taken: Iterable[Incarnation]) -> EngineEntry | None:
-            return self._pool.choose_again(service, rested.difference(taken))
+        def choose(excluded: Iterable[Incarnation]) -> EngineEntry | None:
+            return self._pool.choose_again(service, eligible.difference(excluded))
 
-        return self._choose(key, pick)
+        return self._choose_for(key, choose)
 
-    def again_at(
+    def eligible_at(
         self, service: str, key: str, attempts: EngineAttempts
     ) -> float | None:
         """
-        Return when an engine may have a request again, monotonic, in seconds, as far as
-        is known now; none if none may.
+        Return the earliest time at which an engine may receive the request again,
+        monotonic, in seconds; None if none may.
         """
         returns = attempts.may_return_at()
-        if not returns or self._ends.standing(key) is Standing.BARRED:
+        if not returns or self._crash_watch.standing(key) is Standing.BARRED:
             return None
-        usable = self._pool.returns_at(service)
-        times = [max(at, usable[e]) for e, at in returns.items() if e in usable]
+        eligible_at = self._pool.eligible_at(service)
+        times = [
+            max(at, eligible_at[e]) for e, at in returns.items() if e in eligible_at
+        ]
         return min(times, default=None)
 
-    def _choose(self, key: str, pick: Pick) -> EngineEntry | None:
-        standing = self._ends.standing(key)
+    def _choose_for(self, key: str, choose: _Choose) -> EngineEntry | None:
+        standing = self._crash_watch.standing(key)
         if standing is Standing.BARRED:
             return None
         if standing is Standing.FREE:
-            return pick(())
-        alone = pick(self._ends.with_suspects(key))
-        if alone is not None or standing is Standing.UNCLEAR:
-            return alone
-        return pick(())
+            return choose(())
+        isolated = choose(self._crash_watch.with_suspects(key))
+        if isolated is not None or standing is Standing.UNCLEAR:
+            return isolated
+        return choose(())
--- a/packages/saddledoord/src/saddledoord/serving/engine_ends.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_ends.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Keeps requests that end engines away from them, by what all nodes have seen.
+Detects requests that crash engines, and shares what it sees with the other nodes.
 """
 
 from __future__ import annotations
@@ -35,32 +35,27 @@
 
 _log = structlog.get_logger()
 
-#: Longest time from a request's arrival at an engine to the engine's end for which it
-#: may be the cause, in seconds; instances were seen to end 0.1 s after the run began.
-#: An engine that runs a request for longer is not ended by it, so that texts of many
-#: seconds are not blamed for engines that end by themselves.
-_SOON = 1.5
-#: How late a timer may fire and still show that an engine lived until then, in seconds;
-#: after a standstill of this node nothing is known.
-_ON_TIME = 0.2
-#: Age of the newest question to the log from which it is asked anew before a request is
-#: judged, in seconds. A node begins to read this stream every 0.2 s, and a read that is
-#: not answered ends after 0.7 s: whoever asked longer ago has stood still. Asked by the
-#: age of the answer, a node that was cut off from the store on a calm day held requests
-#: up for 0.3 s, and one in 62 was late.
-_STALE = 1.5
-#: Longest time that a request waits for that, in seconds.
-_ASK_LIMIT = 0.3
-#: How long records are gathered for one append, in seconds: all requests of an engine
-#: break off within some ms.
-_GATHER = 0.02
-#: Requests in one record, a count: 16 of them take 450 bytes.
-_MOST_REQUESTS = 16
-#: Records in one append, a count: 14 KB.
-_MOST_AT_ONCE = 32
-#: Records that wait for the store, a count; the oldest go first. So many come of ends
-#: of 16 engines with 16 requests each.
-_MOST_WAITING = 256
+#: Longest time from a request's arrival at an engine to the engine's crash for which
+#: the request is a suspect, in seconds.
+_CRASH_WINDOW = 1.5
+#: Largest delay of a timer that still shows that an engine was alive, in seconds; after
+#: a process pause it shows nothing.
+_TIMER_TOLERANCE = 0.2
+#: Age of the newest read of the control stream from which the stream is read again
+#: before a request is judged, in seconds. It counts from the start of the read, so that
+#: an outage of the store does not delay every request.
+_MAX_READ_AGE = 1.5
+#: Longest time that a request waits for that read, in seconds.
+_REFRESH_TIMEOUT = 0.3
+#: How long records are collected for one append, in seconds; all requests of an engine
+#: are interrupted at nearly the same time.
+_BATCH_DELAY = 0.02
+#: Largest number of requests in one record.
+_MAX_REQUESTS_PER_RECORD = 16
+#: Largest number of records in one append.
+_MAX_RECORDS_PER_APPEND = 32
+#: Largest number of records that wait for the store; the oldest are dropped first.
+_MAX_PENDING_RECORDS = 256
 
 _Record = EngineEnded | RequestsCleared
 
@@ -68,70 +63,77 @@
 @dataclass(eq=False)
 class _Run:
     """
-    A request at an engine.
+    A request that was sent to an engine.
 
-    :param began: Monotonic, in seconds.
-    :param left: When it was given up; none while it is there.
+    :param started_at: When it was sent, monotonic, in seconds.
+    :param finished_at: When the attempt ended; None while it runs.
+    :param is_interrupted: Whether the attempt ended without an answer.
     """
 
     key: str
-    began: float
-    left: float | None = None
-    broke: bool = False
+    started_at: float
+    finished_at: float | None = None
+    is_interrupted: bool = False
 
 
 @dataclass(eq=False)
-class _Life:
+class _EngineRuns:
     """
-    What this node has and lately had at one life of an engine.
+    The requests that this node has or recently had at one incarnation of an engine.
 
-    :param broke_at: When a request broke off; none if none has since it was asked.
+    :param engine: The incarnation; None before its first request.
+    :param interrupted_at: When a request was interrupted, monotonic, in seconds; None
+        if none was since the engine was last checked.
+    :param is_closed: Whether the incarnation has ended.
     """
 
     engine: Incarnation | None = None
     runs: set[_Run] = field(default_factory=set)
-    broke_at: float | None = None
-    is_over: bool = False
+    interrupted_at: float | None = None
+    is_closed: bool = False
 
 
 class RunAtEngine:
     """
-    Tells the watch what becomes of one request at one engine.
+    Records the result of one request at one engine.
     """
 
-    def __init__(self, watch: EngineEndWatch, life: _Life, run: _Run) -> None:
+    def __init__(
+        self, watch: EngineEndWatch, engine_runs: _EngineRuns, run: _Run
+    ) -> None:
         self._watch = watch
-        self._life = life
+        self._engine_runs = engine_runs
         self._run = run
 
     def survived(self) -> None:
         """
-        Note that the engine has run the request and lives.
+        Record that the engine ran the request and is alive.
         """
-        self._life.runs.discard(self._run)
-        self._watch.note_survived(self._run.key)
+        self._engine_runs.runs.discard(self._run)
+        self._watch.clear_request(self._run.key)
 
     def not_run(self) -> None:
         """
-        Note that the engine has not begun to run the request.
+        Record that the engine did not start the request.
         """
-        self._life.runs.discard(self._run)
+        self._engine_runs.runs.discard(self._run)
 
     def broke_off(self, engine: EngineEntry) -> None:
         """
-        Note that the request ended without an answer, and the engine may have as well.
+        Record that the request ended without an answer; the engine may have crashed.
         """
-        self._run.broke = True
-        self._watch.note_broken(engine, self._life)
+        self._run.is_interrupted = True
+        self._watch.check_engine(engine, self._engine_runs)
 
 
 class EngineEndWatch:
     """
-    Knows which requests were at which engine when it ended, and tells the other nodes.
+    Tracks which requests were at an engine when it crashed, and reports the crashes.
 
-    An end is told only when it is certain: the engine's address refuses connections, or
-    its entry speaks of a later life. It holds while the store is away for all that was
-    known, and is read again from the log after the loss of all nodes.
+    A crash is reported only when it is certain: the engine's address refuses
+    connections, or its entry names a later incarnation. Known crashes stay in force
+    while the store is unavailable, and are read from the log after all nodes have
+    restarted.
     """
 
     def __init__(
@@ -140,190 +142,202 @@
         self._engines = engines
         self._leases = leases
         self._log = log
-        self._ends = EngineEnds()
-        self._lives = memory.table(_Life, self._forgotten)
-        self._asking: dict[asyncio.Task, _Life] = {}
-        self._waiting = deque[_Record](maxlen=_MOST_WAITING)
-        self._some = asyncio.Event()
-        leases.on_other(self._fold)
+        self._crashes = EngineEnds()
+        self._runs = memory.table(_EngineRuns, self._on_incarnation_ended)
+        self._checks: dict[asyncio.Task, _EngineRuns] = {}
+        self._pending = deque[_Record](maxlen=_MAX_PENDING_RECORDS)
+        self._has_pending = asyncio.Event()
+        leases.on_other_record(self._apply)
 
     def standing(self, key: str) -> Standing:
         """
-        Return what is known of a request, by `request_key`.
+        Return the standing of a request.
+
+        :param key: As `request_key` returns it.
         """
         now = boot_time()
-        standing = self._ends.standing(key, now)
+        standing = self._crashes.standing(key, now)
         if standing is Standing.BARRED:
-            self._tell(self._ends.to_tell_again(key, now))
-        if standing is Standing.FREE and self._has_broken(key):
+            self._publish(self._crashes.to_tell_again(key, now))
+        if standing is Standing.FREE and self._is_interrupted(key):
             return Standing.SUSPECT
         return standing
 
     def is_current(self) -> bool:
         """
-        Whether this node has just asked what others have told, if perhaps in vain.
+        Whether this node has recently read the control stream, answered or not.
 
-        Not by whether the store answered the last read: after a standstill its time
-        limit is over before the answer that waits there is looked at.
+        Whether the store answered the last read does not tell: after a process pause
+        that read times out before its answer is processed.
         """
-        return boot_time() - self._leases.asked_at <= _STALE
+        return boot_time() - self._leases.last_read_at <= _MAX_READ_AGE
 
     async def ask(self) -> None:
         """
-        Learn what others have told if this node may have missed it; for a short while.
+        Read the control stream if this node may have missed records; wait briefly.
         """
         if self.is_current():
             return
         try:
-            async with asyncio.timeout(_ASK_LIMIT):
-                is_known = await self._leases.sync()
+            async with asyncio.timeout(_REFRESH_TIMEOUT):
+                is_synced = await self._leases.sync()
         except TimeoutError:
-            is_known = False
-        if not is_known:
-            _log.info("engine_ends_not_asked", known=len(self._ends))
+            is_synced = False
+        if not is_synced:
+            _log.info("engine_ends_not_asked", known=len(self._crashes))
 
     def with_suspects(self, key: str) -> set[Incarnation]:
         """
-        Return the engines that run other suspects of this node's.
+        Return the engines at which this node runs suspects other than a request.
 
-        Two suspects at one engine would both be there when it ends.
+        Two suspects at one engine could not be told apart when it crashes.
         """
         return {
             engine
-            for engine in self._lives
-            if any(self._is_other_suspect(run, key) for run in self._lives[engine].runs)
+            for engine in self._runs
+            if any(self._is_other_suspect(run, key) for run in self._runs[engine].runs)
         }
 
     @contextmanager
     def running(self, engine: Incarnation, key: str) -> Iterator[RunAtEngine]:
         """
-        Have a request watched while it is at an engine.
+        Track a request while it is at an engine.
         """
-        life = self._lives[engine]
-        life.engine = engine
+        engine_runs = self._runs[engine]
+        engine_runs.engine = engine
         run = _Run(key, boot_time())
-        life.runs.add(run)
+        engine_runs.runs.add(run)
         timer = None
         if self.standing(key) is not Standing.FREE:
-            timer = asyncio.get_running_loop().call_later(_SOON, self._lasted, run)
+            timer = asyncio.get_running_loop().call_later(
+                _CRASH_WINDOW, self._check_survival, run
+            )
         try:
-            yield RunAtEngine(self, life, run)
+            yield RunAtEngine(self, engine_runs, run)
         finally:
-            run.left = boot_time()
-            self._drop_old(life)
+            run.finished_at = boot_time()
+            self._drop_old_runs(engine_runs)
             if timer is not None:
                 timer.cancel()
 
-    def note_survived(self, key: str) -> None:
+    def clear_request(self, key: str) -> None:
         """
-        Take back what speaks against a request.
+        Clear a request of the crashes that it is suspected of.
         """
-        if self._ends.speaks_against(key):
-            self._tell([RequestsCleared((key,))])
+        if self._crashes.speaks_against(key):
+            self._publish([RequestsCleared((key,))])
 
-    def note_broken(self, engine: EngineEntry, life: _Life) -> None:
+    def check_engine(self, engine: EngineEntry, engine_runs: _EngineRuns) -> None:
         """
-        Find out whether an engine has ended, once for all that broke off.
+        Check whether an engine has crashed, once for all interrupted requests.
         """
-        if life.is_over or life.broke_at is not None:
+        if engine_runs.is_closed or engine_runs.interrupted_at is not None:
             return
-        life.broke_at = boot_time()
-        task = asyncio.create_task(self._find_out(engine, life))
-        self._asking[task] = life
-        task.add_done_callback(self._asking.pop)
+        engine_runs.interrupted_at = boot_time()
+        task = asyncio.create_task(self._check_engine(engine, engine_runs))
+        self._checks[task] = engine_runs
+        task.add_done_callback(self._checks.pop)
 
     async def run(self) -> None:
         """
-        Bring what this node has seen into the log, until cancelled.
+        Append pending records to the log, until cancelled.
         """
         while True:
-            await self._some.wait()
-            await asyncio.sleep(_GATHER)
-            self._some.clear()
-            while self._waiting:
-                count = min(len(self._waiting), _MOST_AT_ONCE)
-                batch = [self._waiting.popleft() for _ in range(count)]
+            await self._has_pending.wait()
+            await asyncio.sleep(_BATCH_DELAY)
+            self._has_pending.clear()
+            while self._pending:
+                count = min(len(self._pending), _MAX_RECORDS_PER_APPEND)
+                batch = [self._pending.popleft() for _ in range(count)]
                 records = [encode_record(record).encode() for record in batch]
                 await append_until_done(self._log, CONTROL_STREAM, records)
 
-    async def _find_out(self, engine: EngineEntry, life: _Life) -> None:
+    async def _check_engine(
+        self, engine: EngineEntry, engine_runs: _EngineRuns
+    ) -> None:
         if await self._engines.is_gone(engine):
-            self._over(life, life.broke_at or boot_time())
-        # Whatever breaks off from now on is asked about anew.
-        life.broke_at = None
+            self._close(engine_runs, engine_runs.interrupted_at or boot_time())
+        # The next interruption starts a new check.
+        engine_runs.interrupted_at = None
 
-    def _forgotten(self, life: _Life) -> None:
-        # Its entry speaks of a later life, or it has been gone for long.
-        self._over(life, boot_time())
+    def _on_incarnation_ended(self, engine_runs: _EngineRuns) -> None:
+        # The entry names a later incarnation, or has been missing for long.
+        self._close(engine_runs, boot_time())
 
-    def _over(self, life: _Life, ended_at: float) -> None:
+    def _close(self, engine_runs: _EngineRuns, ended_at: float) -> None:
         """
-        Tell which requests an engine had begun to run just before its end.
+        Report the requests that an engine received shortly before it crashed.
         """
-        if life.is_over or life.engine is None:
+        if engine_runs.is_closed or engine_runs.engine is None:
             return
-        life.is_over = True
-        # Whoever left just before may have begun to run all the same.
+        engine_runs.is_closed = True
+        # The engine may have started a request that was cancelled just before.
         keys = sorted(
             {
                 run.key
-                for run in life.runs
-                if run.began <= ended_at <= run.began + _SOON
-                and (run.left is None or run.broke or run.left + _SOON >= ended_at)
+                for run in engine_runs.runs
+                if run.started_at <= ended_at <= run.started_at + _CRASH_WINDOW
+                and (
+                    run.finished_at is None
+                    or run.is_interrupted
+                    or run.finished_at + _CRASH_WINDOW >= ended_at
+                )
             }
         )
         if not keys:
             return
-        _log.info("engine_ended", engine=life.engine.engine_id, requests=keys)
-        self._tell(
+        _log.info("engine_ended", engine=engine_runs.engine.engine_id, requests=keys)
+        self._publish(
             [
                 EngineEnded(
-                    life.engine.engine_id,
-                    life.engine.started_at,
-                    tuple(keys[first : first + _MOST_REQUESTS]),
+                    engine_runs.engine.engine_id,
+                    engine_runs.engine.started_at,
+                    tuple(keys[first : first + _MAX_REQUESTS_PER_RECORD]),
                 )
-                for first in range(0, len(keys), _MOST_REQUESTS)
+                for first in range(0, len(keys), _MAX_REQUESTS_PER_RECORD)
             ]
         )
 
-    def _tell(self, records: list[_Record]) -> None:
+    def _publish(self, records: list[_Record]) -> None:
         """
-        Know something at once, and have the other nodes know it.
+        Apply records at once and queue them for the log.
         """
         for record in records:
-            self._fold(record)
-            if len(self._waiting) == _MOST_WAITING:
-                _log.warning("engine_ends_dropped", kept=_MOST_WAITING)
-            self._waiting.append(record)
-            self._some.set()
+            self._apply(record)
+            if len(self._pending) == _MAX_PENDING_RECORDS:
+                _log.warning("engine_ends_dropped", kept=_MAX_PENDING_RECORDS)
+            self._pending.append(record)
+            self._has_pending.set()
 
-    def _fold(self, record: object) -> None:
-        self._ends.apply(record, boot_time())
+    def _apply(self, record: object) -> None:
+        self._crashes.apply(record, boot_time())
 
-    def _lasted(self, run: _Run) -> None:
-        if boot_time() - run.began <= _SOON + _ON_TIME:
-            self.note_survived(run.key)
+    def _check_survival(self, run: _Run) -> None:
+        if boot_time() - run.started_at <= _CRASH_WINDOW + _TIMER_TOLERANCE:
+            self.clear_request(run.key)
 
-    def _has_broken(self, key: str) -> bool:
+    def _is_interrupted(self, key: str) -> bool:
         """
-        Whether a request broke off at an engine that is being asked.
+        Whether a request was interrupted at an engine that is being checked.
         """
         return any(
-            run.key == key and run.broke
-            for life in self._asking.values()
-            for run in life.runs
+            run.key == key and run.is_interrupted
+            for engine_runs in self._checks.values()
+            for run in engine_runs.runs
         )
 
     def _is_other_suspect(self, run: _Run, key: str) -> bool:
-        if run.left is not None or run.key == key:
+        if run.finished_at is not None or run.key == key:
             return False
-        return self._ends.standing(run.key, boot_time()) is not Standing.FREE
+        return self._crashes.standing(run.key, boot_time()) is not Standing.FREE
 
-    def _drop_old(self, life: _Life) -> None:
+    def _drop_old_runs(self, engine_runs: _EngineRuns) -> None:
         """
-        Forget the runs that left too long ago to be the cause of an end.
+        Drop the requests that ended too long ago to be suspects.
         """
         now = boot_time()
-        life.runs = {
-            run for run in life.runs if run.left is None or run.left + _SOON >= now
+        engine_runs.runs = {
+            run
+            for run in engine_runs.runs
+            if run.finished_at is None or run.finished_at + _CRASH_WINDOW >= now
         }
--- a/packages/saddledoord/src/saddledoord/serving/outcomes.py
+++ b/packages/saddledoord/src/saddledoord/serving/outcomes.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What an attempt's outcome says of the request and of the engine.
+Classifies the outcome of an attempt for the request and for the engine.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from .engine_ends import RunAtEngine
 
 
-__all__ = ["Outcome", "describe", "end_of", "is_final", "note_end"]
+__all__ = ["Outcome", "attempt_end", "describe", "is_final", "record_run"]
 
 Outcome = EngineAnswer | NotRun | OutcomeUnknown
 
 
 def is_final(route: GatewayRoute, outcome: Outcome) -> bool:
     """
-    Whether the caller gets this, and no other engine the request.
+    Whether the outcome is returned to the caller rather than retried at another engine.
     """
     match outcome:
         case EngineAnswer(status=status):
@@ -37,9 +37,9 @@
             return route.kind is not RouteKind.SAFE
 
 
-def note_end(run: RunAtEngine, engine: EngineEntry, outcome: Outcome) -> None:
+def record_run(run: RunAtEngine, engine: EngineEntry, outcome: Outcome) -> None:
     """
-    Tell the watch over engines that end what became of a request there.
+    Record an outcome with the crash detection.
     """
     match outcome:
         case EngineAnswer():
@@ -47,15 +47,15 @@
         case NotRun():
             run.not_run()
         case UnusableAnswer():
-            # It answered, so it need not be asked whether it has ended.
+            # The engine answered, so it need not be checked for a crash.
             pass
         case OutcomeUnknown():
             run.broke_off(engine)
 
 
-def end_of(outcome: Outcome) -> AttemptEnd:
+def attempt_end(outcome: Outcome) -> AttemptEnd:
     """
-    Return how an attempt ended that had an outcome which is not final.
+    Return how an attempt ended whose outcome is not final.
     """
     match outcome:
         case EngineAnswer():
@@ -70,7 +70,7 @@
 
 def describe(outcome: Outcome) -> str:
     """
-    Return an outcome in words, for logs.
+    Return a description of an outcome for the log.
     """
     if isinstance(outcome, EngineAnswer):
         return f"status {outcome.status}"
--- a/packages/saddledoord/src/saddledoord/serving/pace.py
+++ b/packages/saddledoord/src/saddledoord/serving/pace.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-How fast each engine makes events, as this node sees it.
+Measures how fast each engine generates events.
 """
 
 from __future__ import annotations
@@ -14,34 +14,35 @@
 
 __all__ = ["EnginePaces"]
 
-#: Weight of a new gap in the running mean.
-_NEWEST = 0.2
-#: Age after which a mean says nothing any more, in seconds: a slow engine that is left
-#: alone gets another chance.
-_FORGET = 3.0
-#: A longer gap is a pause and says nothing of the pace, in seconds: an engine that
-#: loads weights pauses for 0.9 s; the slowest pace seen is 0.15 s.
-_PAUSE = 0.5
+#: Weight of a new gap in the moving average.
+_SMOOTHING = 0.2
+#: Age after which a mean is no longer used, in seconds, so that an engine that was slow
+#: is tried again.
+_MAX_AGE = 3.0
+#: Longest gap that counts, in seconds; a longer one is a pause, such as while the
+#: engine loads weights.
+_MAX_GAP = 0.5
 
 
 @dataclass
 class _Pace:
     """
-    How fast an engine is.
+    The pace of one engine.
 
-    :param gap: Mean between two events of a stream, in seconds; none before any.
-    :param at: When it was last told, monotonic, in seconds.
-    :param last_event: When any stream of it last brought something.
+    :param gap: Mean gap between two events of a stream, in seconds; None before the
+        first gap.
+    :param updated_at: When the mean was last updated, monotonic, in seconds.
+    :param last_event_at: Time of the last event of any stream, monotonic, in seconds.
     """
 
     gap: float | None = None
-    at: float = float("-inf")
-    last_event: float = float("-inf")
+    updated_at: float = float("-inf")
+    last_event_at: float = float("-inf")
 
 
 class EnginePaces:
     """
-    Running means of the gap between two events of one stream, by engine.
+    Moving averages of the gap between two events of one stream, by engine.
     """
 
     def __init__(self, memory: EngineMemory) -> None:
@@ -49,38 +50,39 @@
 
     def observe(self, engine: Incarnation, gap: float | None, now: float) -> None:
         """
-        Note an event.
+        Record an event.
 
-        :param gap: Time since the stream's last one; none for its first, in seconds.
+        :param gap: Time since the stream's previous event, in seconds; None for its
+            first.
         :param now: Monotonic, in seconds.
         """
         pace = self._paces[engine]
-        pace.last_event = now
-        if gap is None or gap > _PAUSE:
+        pace.last_event_at = now
+        if gap is None or gap > _MAX_GAP:
             return
-        before = self.gap(engine, now)
-        pace.gap = gap if before is None else before + _NEWEST * (gap - before)
-        pace.at = now
+        previous = self.gap(engine, now)
+        pace.gap = gap if previous is None else previous + _SMOOTHING * (gap - previous)
+        pace.updated_at = now
 
     def gap(self, engine: Incarnation, now: float) -> float | None:
         """
-        Return the mean gap, in seconds, or none if nothing is known by now.
+        Return the mean gap in seconds; None without a recent one.
         """
         pace = self._paces.get(engine)
-        if pace is None or now - pace.at > _FORGET:
+        if pace is None or now - pace.updated_at > _MAX_AGE:
             return None
         return pace.gap
 
     def silent_for(self, engine: Incarnation, now: float) -> float:
         """
-        Return how long no stream of an engine has brought anything, in seconds.
+        Return the time since the last event of any stream of an engine, in seconds.
         """
         pace = self._paces.get(engine) or _Pace()
-        return now - pace.last_event
+        return now - pace.last_event_at
 
     def best_gap(self, engines: Iterable[Incarnation], now: float) -> float | None:
         """
-        Return the smallest known mean gap among engines, in seconds.
+        Return the smallest mean gap among engines in seconds; None if none is known.
         """
         known = [self.gap(engine, now) for engine in engines]
         return min((gap for gap in known if gap is not None), default=None)
--- a/packages/saddledoord/src/saddledoord/serving/pass_through.py
+++ b/packages/saddledoord/src/saddledoord/serving/pass_through.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Passes a caller's request to a back end, and to others if it may be repeated.
+Forwards a request to a backend server, and retries it at others if it is repeatable.
 """
 
 from __future__ import annotations
@@ -35,58 +35,59 @@
 from .admission import Admission
 from .engine_choice import EngineChoice
 from .engine_ends import EngineEndWatch
-from .outcomes import Outcome, describe, end_of, is_final, note_end
+from .outcomes import Outcome, attempt_end, describe, is_final, record_run
 from .pool import EnginePool
-from .request_try import Beginning, RequestTry
+from .request_state import FirstStart, RequestState
 
 
 __all__ = ["PassThrough"]
 
 _log = structlog.get_logger()
 
-#: When a refused caller should come back, in seconds: twice the usual work (40 ms).
-_COME_BACK = 0.1
-#: When a request that may be repeated is also sent to a second engine, as a share of
-#: its objective: then the second can still answer in time (its work takes a fifth).
-_OVERLAP_AFTER = 0.5
-#: Least time left that an attempt is worth, in seconds.
-_LEAST_TIME = 0.01
-#: Least time left that an attempt at an engine which has had the request is worth, as a
-#: share of its objective: its work takes a fifth, and a call that cannot be answered in
-#: time only burdens the engine.
-_WORTH_A_RETURN = 0.5
-#: How often a request that waits to go again to an engine looks whether it may, in
-#: seconds: the usual work. Another request may show sooner that the engine is well.
-_LOOK = 0.05
-#: When a caller may send a request again that ends engines, in seconds: when it is
-#: forgotten if nobody sends it meanwhile.
-_FORGOTTEN_AFTER = 240.0
-
-
-def _ignore(_: Outcome) -> None:
+#: Retry delay told to a caller whose request was refused, in seconds.
+_RETRY_AFTER = 0.1
+#: Share of a route's objective after which a repeatable request is also sent to a
+#: second engine (hedging), so that the second can still answer in time.
+_HEDGE_AFTER = 0.5
+#: Least time before the deadline at which an attempt is started, in seconds.
+_MIN_TIME_LEFT = 0.01
+#: Least time before the deadline at which a request is retried at an engine that has
+#: received it, as a share of the route's objective.
+_MIN_RETRY_SHARE = 0.5
+#: How often a request that waits for a retry checks whether it is eligible, in seconds;
+#: another request's answer may make it eligible sooner.
+_POLL_INTERVAL = 0.05
+#: Retry delay told to the caller of a quarantined request, in seconds: the quarantine
+#: ends then if nobody sends the request meanwhile.
+_QUARANTINE_RETRY_AFTER = 240.0
+
+
+def _ignore_outcome(_: Outcome) -> None:
     pass
 
 
-def _pass_over(_: str, __: float) -> None:
+def _ignore_start(_: str, __: float) -> None:
     pass
 
 
-def _always() -> bool:
+def _always_true() -> bool:
     return True
 
 
-def _not_at_all() -> float:
+def _no_delay() -> float:
     return 0.0
 
 
 class PassThrough:
     """
-    Serves requests of the routes that are passed through.
-
-    :param count: Told the route, the result and the seconds of each request.
-    :param began: Told the workspace of each request that engines began, and when,
-        monotonic, in seconds.
-    :param held_up: Returns how long a request that is read now may have waited for it.
+    Serves requests of pass-through routes.
+
+    :param record_request: Called with the route, the result code and the duration in
+        seconds of each request.
+    :param on_start: Called with the workspace of each request that an engine started,
+        and with the start time, monotonic, in seconds.
+    :param read_delay: Returns how long a request that is read now may have waited
+        unread, in seconds.
     """
 
     def __init__(
@@ -94,23 +95,23 @@
         view: ClusterView,
         pool: EnginePool,
         engines: Engines,
-        lives: EngineLives,
-        ends: EngineEndWatch,
+        timeouts: EngineLives,
+        crash_watch: EngineEndWatch,
         admission: Admission,
-        count: Callable[[str, ResultCode, float], None],
-        began: Callable[[str, float], None] = _pass_over,
-        held_up: Callable[[], float] = _not_at_all,
+        record_request: Callable[[str, ResultCode, float], None],
+        on_start: Callable[[str, float], None] = _ignore_start,
+        held_up: Callable[[], float] = _no_delay,
     ) -> None:
         self._admission = admission
-        self._began = began
-        self._lives = lives
-        self._ends = ends
-        self._choice = EngineChoice(pool, ends)
+        self._on_start = on_start
+        self._timeouts = timeouts
+        self._crash_watch = crash_watch
+        self._choice = EngineChoice(pool, crash_watch)
         self._view = view
         self._pool = pool
         self._engines = engines
-        self._count = count
-        self._held_up = held_up
+        self._record_request = record_request
+        self._read_delay = held_up
 
     async def serve(
         self, request: ForwardedRequest, patience: float | None, key: str = ""
@@ -118,12 +119,13 @@
         """
         Serve one request.
 
-        :param patience: How long the caller will wait, in seconds, if it said so.
-        :param key: Of the caller's workspace; empty without one.
+        :param patience: How long the caller waits for the answer, in seconds; None if
+            it did not say.
+        :param key: The caller's key; empty without one.
         """
-        began, held_up = boot_time(), self._held_up()
+        started_at, held_up = boot_time(), self._read_delay()
         if self._view.config is None:
-            return NotRun(ResultCode.NO_CONFIGURATION, "no configuration", _COME_BACK)
+            return NotRun(ResultCode.NO_CONFIGURATION, "no configuration", _RETRY_AFTER)
         route = self._view.route(request.host, request.target.partition("?")[0])
         if route is None:
             _log.info(
@@ -132,10 +134,10 @@
                 host=request.host,
                 configuration=self._view.config.version,
             )
-            return NotRun(ResultCode.UNKNOWN_TARGET, "no route", _COME_BACK)
+            return NotRun(ResultCode.UNKNOWN_TARGET, "no route", _RETRY_AFTER)
         admitted = self._admission.to_route(route, key, request.request_id)
         if isinstance(admitted, NotRun):
-            self._count(route.name, admitted.code, boot_time() - began)
+            self._record_request(route.name, admitted.code, boot_time() - started_at)
             return admitted
         request = replace(
             request,
@@ -143,16 +145,18 @@
             workspace=admitted.workspace,
         )
         limit = route.timeout if patience is None else min(patience, route.timeout)
-        held = time_left(limit, route.objective, held_up)
-        beginning = Beginning()
+        time_limit = time_left(limit, route.objective, held_up)
+        first_start = FirstStart()
         try:
-            outcome = await self.run(route, request, began + held, beginning=beginning)
+            outcome = await self.run(
+                route, request, started_at + time_limit, first_start=first_start
+            )
         finally:
-            # Also if the caller has left: engines have begun all the same.
-            if request.workspace and beginning.at is not None:
-                self._began(request.workspace, beginning.at)
+            # Also if the caller disconnected: engines may have started the request.
+            if request.workspace and first_start.at is not None:
+                self._on_start(request.workspace, first_start.at)
         code = ResultCode.DONE if isinstance(outcome, EngineAnswer) else outcome.code
-        self._count(route.name, code, boot_time() - began)
+        self._record_request(route.name, code, boot_time() - started_at)
         return outcome
 
     async def run(
@@ -160,23 +164,26 @@
         route: GatewayRoute,
         request: ForwardedRequest,
         deadline: float,
-        heard: Callable[[Outcome], None] = _ignore,
+        heard: Callable[[Outcome], None] = _ignore_outcome,
         name: str = "",
-        may_begin: Callable[[], bool] = _always,
-        beginning: Beginning | None = None,
+        may_begin: Callable[[], bool] = _always_true,
+        first_start: FirstStart | None = None,
     ) -> Outcome:
         """
-        Run a request of a known route until a monotonic time.
-
-        :param heard: Told of each attempt's outcome.
-        :param name: Of a request that keeps its name when it is sent again.
-        :param may_begin: Asked before each attempt; none begins while it may not.
-        :param beginning: Learns when engines began the request.
+        Run a request of a route until it is answered or its deadline has passed.
+
+        :param deadline: Monotonic, in seconds.
+        :param heard: Called with the outcome of each attempt.
+        :param name: Name that the request keeps when it is sent again; empty without
+            one.
+        :param may_begin: Called before each attempt; none starts while it returns
+            false.
+        :param first_start: Records when engines started the request; None if unused.
         """
-        key = _key_of(request, name)
+        key = _request_key(request, name)
         service = route.service(random.random())
         attempts = EngineAttempts(route.max_attempts, route.kind is RouteKind.SAFE)
-        current = RequestTry(
+        current = RequestState(
             route,
             request,
             deadline,
@@ -185,48 +192,49 @@
             service,
             attempts,
             may_begin,
-            beginning or Beginning(),
+            first_start or FirstStart(),
         )
-        await self._ends.ask()
+        await self._crash_watch.ask()
         pending: set[asyncio.Task[Outcome]] = set()
         try:
-            while current.left > _LEAST_TIME:
-                if not pending or self._may_overlap(current):
+            while current.left > _MIN_TIME_LEFT:
+                if not pending or self._may_hedge(current):
                     pending |= self._start(current, bool(pending))
-                if not pending and not self._may_return(current, False):
+                if not pending and not self._may_retry(current, False):
                     break
-                done, pending = await _first_of(pending, self._patience(current))
+                done, pending = await _wait_for_first(pending, self._wait_time(current))
                 for task in done:
                     if is_final(route, task.result()):
-                        self._note_overtaken(current, task, pending)
+                        self._record_overtaken(current, task, pending)
                         return task.result()
         finally:
-            # Closes their connections, so those engines stop.
+            # Closes their connections, which makes the engines stop.
             for task in pending:
                 task.cancel()
         if pending and current.last is None:
-            # An engine still has it, so it may have run.
+            # An engine still has the request, so it may have run.
             code = ResultCode.OUTCOME_UNKNOWN
             current.last = OutcomeUnknown(code, "no answer in time")
         return self._give_up(current)
 
     def _start(
-        self, current: RequestTry, is_pending: bool
+        self, current: RequestState, is_pending: bool
     ) -> set[asyncio.Task[Outcome]]:
         """
-        Begin an attempt if there is an engine for it: one that has not had the request,
-        else one that may have it again.
+        Start an attempt at an engine that has not received the request, or else at one
+        that may receive it again.
 
-        :param is_pending: Whether an engine works on the request.
+        :param is_pending: Whether another attempt is in flight.
+        :returns: The attempt's task; empty if there is no engine for it.
         """
         if not current.may_begin():
             return set()
-        place = (current.service, current.key, current.attempts)
-        engine = self._choice.another(*place)
-        if engine is None and self._may_return(current, is_pending):
-            engine = self._choice.again(*place)
+        target = (current.service, current.key, current.attempts)
+        engine = self._choice.choose_new(*target)
+        if engine is None and self._may_retry(current, is_pending):
+            engine = self._choice.choose_again(*target)
             if engine is not None:
-                self._pool.asked_again(engine)
+                self._pool.record_retry(engine)
         if engine is None:
             return set()
         attempt = current.attempts.begin(engine.incarnation)
@@ -234,95 +242,95 @@
         current.engines[task] = engine
         return {task}
 
-    def _may_return(self, current: RequestTry, is_pending: bool) -> bool:
+    def _may_retry(self, current: RequestState, is_pending: bool) -> bool:
         """
-        Whether an engine may have the request again while there is time enough.
+        Whether the request may be retried at an engine before its deadline.
 
-        A request that has run nowhere is refused at once: another VM may have room.
+        A request that was refused everywhere is not: another VM may accept it.
         """
         if not is_pending and current.last is None:
             return False
-        place = (current.service, current.key, current.attempts)
-        at = self._choice.again_at(*place)
-        worth = _WORTH_A_RETURN * current.route.objective
-        return at is not None and max(at, boot_time()) + worth <= current.deadline
+        target = (current.service, current.key, current.attempts)
+        at = self._choice.eligible_at(*target)
+        needed = _MIN_RETRY_SHARE * current.route.objective
+        return at is not None and max(at, boot_time()) + needed <= current.deadline
 
-    def _note_overtaken(
+    def _record_overtaken(
         self,
-        current: RequestTry,
+        current: RequestState,
         winner: asyncio.Task[Outcome],
         pending: set[asyncio.Task[Outcome]],
     ) -> None:
         """
-        Note the engines that were asked before the one that has answered.
+        Record the engines that received the request before the one that answered it.
         """
         if not isinstance(winner.result(), EngineAnswer):
             return
-        asked = list(current.engines)
-        for task in asked[: asked.index(winner)]:
+        tasks = list(current.engines)
+        for task in tasks[: tasks.index(winner)]:
             if task in pending:
                 self._pool.overtaken(current.engines[task])
 
-    def _may_overlap(self, current: RequestTry) -> bool:
+    def _may_hedge(self, current: RequestState) -> bool:
         """
-        Whether a second engine may work on the request beside the first.
+        Whether a second engine may run the request at the same time.
 
-        Not on one that was at an engine's end: 0.1 s later both might end.
+        A suspect is not hedged: it might crash both engines.
         """
         if current.route.kind is not RouteKind.SAFE:
             return False
-        return self._ends.standing(current.key) is Standing.FREE
+        return self._crash_watch.standing(current.key) is Standing.FREE
 
-    def _patience(self, current: RequestTry) -> float:
+    def _wait_time(self, current: RequestState) -> float:
         """
-        How long to wait before the next attempt is begun, in seconds.
+        Return how long to wait before the next attempt may start, in seconds.
         """
         left = max(0.0, current.left)
-        if self._may_return(current, True):
-            return min(left, _LOOK)
-        if not self._may_overlap(current):
+        if self._may_retry(current, True):
+            return min(left, _POLL_INTERVAL)
+        if not self._may_hedge(current):
             return left
         if not current.attempts.may_go_on():
             return left
-        return min(left, current.route.objective * _OVERLAP_AFTER)
+        return min(left, current.route.objective * _HEDGE_AFTER)
 
     async def _attempt(
-        self, current: RequestTry, engine: EngineEntry, attempt: EngineAttempt
+        self, current: RequestState, engine: EngineEntry, attempt: EngineAttempt
     ) -> Outcome:
         if not current.may_begin():
-            # The process has stood still since the attempt was decided on.
+            # The process was paused after the attempt was scheduled.
             attempt.finish(AttemptEnd.NOT_RUN, boot_time())
             return NotRun(ResultCode.NO_BACKEND, "not sent: what is known is too old")
         number = current.attempts.count
         sent_at = boot_time()
         with (
             self._pool.take(engine),
-            self._ends.running(engine.incarnation, current.key) as run,
+            self._crash_watch.running(engine.incarnation, current.key) as run,
         ):
             try:
                 left = max(0.0, current.left)
-                async with self._lives.within(engine.incarnation, left):
+                async with self._timeouts.within(engine.incarnation, left):
                     outcome = await self._engines.call(
                         engine, current.request, current.left
                     )
             except TimeoutError:
-                outcome = self._overdue(engine)
+                outcome = self._timed_out(engine)
             except asyncio.CancelledError:
-                current.beginning.perhaps(sent_at)
+                current.first_start.assume(sent_at)
                 self._log_attempt(current, engine, number, "cancelled")
                 raise
             else:
-                note_end(run, engine, outcome)
-        attempt.finish(end_of(outcome), boot_time())
+                record_run(run, engine, outcome)
+        attempt.finish(attempt_end(outcome), boot_time())
         current.heard(outcome)
         match outcome:
             case EngineAnswer():
-                current.beginning.certainly(sent_at)
+                current.first_start.confirm(sent_at)
                 self._pool.answered(engine)
             case NotRun():
                 self._pool.refused(engine)
             case OutcomeUnknown():
-                current.beginning.perhaps(sent_at)
+                current.first_start.assume(sent_at)
                 self._pool.failed(engine)
         if not isinstance(outcome, EngineAnswer) or outcome.status >= 500:
             self._log_attempt(current, engine, number, describe(outcome))
@@ -330,16 +338,16 @@
             current.last = outcome
         return outcome
 
-    def _overdue(self, engine: EngineEntry) -> OutcomeUnknown:
+    def _timed_out(self, engine: EngineEntry) -> OutcomeUnknown:
         """
-        Say why an attempt was given up; the engine may have run the request.
+        Return the outcome of an attempt that timed out; it may have run.
         """
-        over = self._lives.is_over(engine.incarnation)
-        reason = "the engine has started again" if over else "no answer in time"
+        restarted = self._timeouts.is_over(engine.incarnation)
+        reason = "the engine has started again" if restarted else "no answer in time"
         return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, reason)
 
     def _log_attempt(
-        self, current: RequestTry, engine: EngineEntry, number: int, outcome: str
+        self, current: RequestState, engine: EngineEntry, number: int, outcome: str
     ) -> None:
         _log.info(
             "attempt_failed",
@@ -351,19 +359,21 @@
             left=round(current.left, 3),
         )
 
-    def _give_up(self, current: RequestTry) -> Outcome:
+    def _give_up(self, current: RequestState) -> Outcome:
         outcome = current.last
-        barred = self._ends.standing(current.key) is Standing.BARRED
+        barred = self._crash_watch.standing(current.key) is Standing.BARRED
         if outcome is None and barred:
             code = ResultCode.ENDS_ENGINES
-            outcome = NotRun(code, "engines have ended under it", _FORGOTTEN_AFTER)
+            outcome = NotRun(
+                code, "engines have ended under it", _QUARANTINE_RETRY_AFTER
+            )
         elif outcome is None:
             code = (
                 ResultCode.NO_BACKEND
                 if not current.attempts.count
                 else ResultCode.OVERLOADED
             )
-            outcome = NotRun(code, "no back end took it", _COME_BACK)
+            outcome = NotRun(code, "no back end took it", _RETRY_AFTER)
         _log.info(
             "request_given_up",
             request=current.request.request_id,
@@ -376,11 +386,11 @@
         return outcome
 
 
-async def _first_of(
+async def _wait_for_first(
     pending: set[asyncio.Task[Outcome]], timeout: float
 ) -> tuple[set[asyncio.Task[Outcome]], set[asyncio.Task[Outcome]]]:
     """
-    Wait until an attempt has ended or the time is up; also if there is none.
+    Wait until an attempt has ended or the time is up, also without any attempt.
     """
     if not pending:
         await asyncio.sleep(timeout)
@@ -390,5 +400,5 @@
     )
 
 
-def _key_of(request: ForwardedRequest, name: str) -> str:
+def _request_key(request: ForwardedRequest, name: str) -> str:
     return request_key(request.host, request.method, request.target, request.body, name)
--- a/packages/saddledoord/src/saddledoord/serving/pool.py
+++ b/packages/saddledoord/src/saddledoord/serving/pool.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-This node's own view of the engines: what it has in flight and who failed lately.
+Tracks this node's requests in flight at each engine, and the engine's failures.
 """
 
 from __future__ import annotations
@@ -17,39 +17,38 @@
 
 __all__ = ["EnginePool", "Place"]
 
-#: First and longest time for which an engine that refused gets no new work of the same
-#: kind, in seconds, doubled each time: a part of what a load of weights takes (0.9 s),
-#: the longest usual reason.
-_REFUSED_PAUSE = 0.05
-_REFUSED_PAUSE_MOST = 0.2
-#: First and longest pause after a failure, in seconds; doubled each time.
-_FAILED_PAUSE = 0.25
-_FAILED_PAUSE_MOST = 2.0
-#: Between requests that go to an engine again while it has answered none, in seconds:
-#: not doubled like the pause, since each has a caller with a deadline that waits for
-#: it; a request itself returns after doubled pauses.
-_RETURN_SPACING = 0.25
-#: How long an engine that another one has overtaken is asked after the others, in
-#: seconds: two of the pauses between the requests of a node among many, so that not
-#: every one of them goes first to an engine that stays slow.
-_OVERTAKEN_PAUSE = 4.0
+#: First and longest backoff of an engine that refused a kind of request, in seconds;
+#: doubled with each refusal. Loading weights is the usual reason.
+_REFUSAL_BACKOFF = 0.05
+_MAX_REFUSAL_BACKOFF = 0.2
+#: First and longest backoff after a failure, in seconds; doubled with each failure.
+_FAILURE_BACKOFF = 0.25
+_MAX_FAILURE_BACKOFF = 2.0
+#: Least time between two requests that are retried at an engine that has answered none
+#: since it failed, in seconds. It is not doubled: each request backs off on its own.
+_RETRY_INTERVAL = 0.25
+#: How long an engine that another one has overtaken is chosen after the others, in
+#: seconds.
+_OVERTAKEN_PENALTY = 4.0
 
 
 class Place:
     """
-    A request's place at an engine, given back once.
+    A slot of an engine that is reserved for one request.
+
+    :param on_release: Called at the first release.
     """
 
-    def __init__(self, give_back: Callable[[], None]) -> None:
-        self._give_back: Callable[[], None] | None = give_back
+    def __init__(self, on_release: Callable[[], None]) -> None:
+        self._on_release: Callable[[], None] | None = on_release
 
     def release(self) -> None:
         """
-        Give the place back; a second call changes nothing.
+        Release the slot; further calls have no effect.
         """
-        give_back, self._give_back = self._give_back, None
-        if give_back is not None:
-            give_back()
+        on_release, self._on_release = self._on_release, None
+        if on_release is not None:
+            on_release()
 
     def __enter__(self) -> Place:
         return self
@@ -61,204 +60,206 @@
 @dataclass
 class _Refusal:
     """
-    An engine that refuses requests of one kind.
+    The consecutive refusals of one kind of request by an engine.
 
-    :param count: Of its refusals in a row.
-    :param until: Until when it gets none, monotonic, in seconds.
-    :param on_trial: Whether one is under way there since.
+    :param count: Number of refusals in a row.
+    :param until: End of the backoff, monotonic, in seconds.
+    :param is_probing: Whether a request is in flight there after the refusal.
     """
 
     count: int = 0
     until: float = 0.0
-    on_trial: bool = False
+    is_probing: bool = False
 
 
 @dataclass(eq=False)
-class _Use:
+class _EngineUsage:
     """
-    What this node has at an engine, and how the engine has done.
+    The requests of this node at an engine, and the engine's recent failures.
 
-    :param own: Requests in flight, a count.
-    :param paused_until: After failures, monotonic, in seconds.
-    :param overtaken_until: While it is asked after the others, monotonic, in seconds.
-    :param failures: In a row, a count.
+    :param in_flight: Number of requests in flight.
+    :param backoff_until: End of the backoff after failures, monotonic, in seconds.
+    :param overtaken_until: Until when the engine is chosen after the others, monotonic,
+        in seconds.
+    :param failures: Number of failures in a row.
     :param refusals: By kind of request.
-    :param return_at: From when on a request that failed there may go there again,
+    :param retry_at: Earliest time of the next request that is retried at the engine,
         monotonic, in seconds.
     """
 
     own: int = 0
-    paused_until: float = 0.0
+    backoff_until: float = 0.0
     overtaken_until: float = 0.0
     failures: int = 0
     refusals: dict[str, _Refusal] = field(default_factory=dict)
-    return_at: float = 0.0
+    retry_at: float = 0.0
 
-    def is_rested(self, kind: str, now: float) -> bool:
+    def is_eligible(self, kind: str, now: float) -> bool:
         """
-        Return whether it may get a request of a kind.
+        Return whether the engine may be sent a request of a kind.
         """
-        return self.paused_until <= now and self._takes(kind, now)
+        return self.backoff_until <= now and self._accepts(kind, now)
 
-    def may_return(self, now: float) -> bool:
+    def may_retry(self, now: float) -> bool:
         """
-        Return whether a request may go there again.
+        Return whether a request may be retried at the engine.
         """
-        return self.return_at <= now and self._takes("", now)
+        return self.retry_at <= now and self._accepts("", now)
 
-    def _takes(self, kind: str, now: float) -> bool:
+    def _accepts(self, kind: str, now: float) -> bool:
         refusal = self.refusals.get(kind)
-        return refusal is None or (refusal.until <= now and not refusal.on_trial)
+        return refusal is None or (refusal.until <= now and not refusal.is_probing)
 
 
 class EnginePool:
     """
-    Chooses engines among those that may get work.
+    Chooses engines for requests and backs off from those that fail.
 
-    Refusals count by engine and kind of request: an engine that loads the weights of
-    one model refuses its items and goes on with those of others. Counted by engine
-    alone, each event of another model's stream took the refusal back, and 40 items
-    came to one loading engine 200 times a second (trial, a play of one day).
+    Refusals are tracked by engine and kind of request: an engine that loads the weights
+    of one model refuses items of that model and goes on with those of other models.
 
-    :param choose: The policy among candidates.
+    :param choose: Routing policy that chooses among candidates.
     """
 
     def __init__(self, view: ClusterView, choose: Choose) -> None:
         self._view = view
         self._choose = choose
-        self._uses = view.memory.table(_Use)
+        self._usage_by_engine = view.memory.table(_EngineUsage)
 
     def choose(
         self, service: str, exclude: Iterable[Incarnation] = (), kind: str = ""
     ) -> EngineEntry | None:
         """
-        Return an engine for one request that cannot wait, or none.
+        Return an engine for a request that cannot be queued, or None.
 
-        It goes to an engine that is paused rather than to none: a pause is a guess, a
-        refusal is certain.
+        If all engines are backing off, one of them is chosen all the same.
 
         :param exclude: Engines that were tried already.
-        :param kind: Kind of the request, for refusals.
+        :param kind: Kind of the request.
         """
         now = boot_time()
         tried = set(exclude)
         usable = self._view.directory.usable(service, now)
         untried = [engine for engine in usable if engine.incarnation not in tried]
-        rested = [engine for engine in untried if self._rested(engine, kind, now)]
-        fast = [e for e in rested if self._use(e).overtaken_until <= now]
-        return self._among({e.engine_id: e for e in fast or rested or untried})
+        eligible = [
+            engine for engine in untried if self._is_eligible(engine, kind, now)
+        ]
+        fast = [e for e in eligible if self._usage(e).overtaken_until <= now]
+        return self._choose_among({e.engine_id: e for e in fast or eligible or untried})
 
     def choose_again(
         self, service: str, among: Collection[Incarnation]
     ) -> EngineEntry | None:
         """
-        Return one of some engines that have had the request, or none that may now.
+        Return an engine at which a request may be retried now, or None.
+
+        :param among: Engines that have received the request.
         """
         now = boot_time()
         engines = {
             engine.engine_id: engine
             for engine in self._view.directory.usable(service, now)
-            if engine.incarnation in among and self._use(engine).may_return(now)
+            if engine.incarnation in among and self._usage(engine).may_retry(now)
         }
-        return self._among(engines)
+        return self._choose_among(engines)
 
-    def returns_at(self, service: str) -> dict[Incarnation, float]:
+    def eligible_at(self, service: str) -> dict[Incarnation, float]:
         """
-        Return from when on each engine of a service may be asked again by requests that
-        it has had, monotonic, in seconds, as far as is known now.
+        Return the earliest time of a retry at each engine of a service, monotonic, in
+        seconds.
         """
         usable = self._view.directory.usable(service, boot_time())
-        return {e.incarnation: self._use(e).return_at for e in usable}
+        return {e.incarnation: self._usage(e).retry_at for e in usable}
 
-    def asked_again(self, engine: EngineEntry) -> None:
+    def record_retry(self, engine: EngineEntry) -> None:
         """
-        Note that a request goes there again; until it is answered, others wait.
+        Record that a request is retried at an engine, which delays further retries.
 
-        All that failed with it come back at the same time. Of 20 requests that failed
-        at once, 40 more calls reached the engine within 0.7 s, and 2 do.
+        Requests that failed together would otherwise be retried together.
         """
-        self._use(engine).return_at = boot_time() + _RETURN_SPACING
+        self._usage(engine).retry_at = boot_time() + _RETRY_INTERVAL
 
     def with_room(self, service: str, kind: str) -> list[EngineEntry]:
         """
-        Return the engines whose slots this node has not filled and that take requests
-        of a kind.
+        Return the engines that have more slots than requests of this node in flight,
+        and that accept requests of a kind.
         """
         now = boot_time()
         return [
             engine
             for engine in self._view.directory.usable(service, now)
-            if self._use(engine).own < engine.slots and self._rested(engine, kind, now)
+            if self._usage(engine).own < engine.slots
+            and self._is_eligible(engine, kind, now)
         ]
 
     def own(self, engine: EngineEntry) -> int:
         """
-        Return how many requests this node has at an engine, a count.
+        Return the number of requests that this node has in flight at an engine.
         """
-        return self._use(engine).own
+        return self._usage(engine).own
 
     def take(self, engine: EngineEntry, kind: str = "") -> Place:
         """
-        Take a place at an engine at once, so that the next choice counts it.
+        Reserve a slot at an engine at once, so that the next choice counts it.
         """
-        use = self._use(engine)
-        use.own += 1
-        refusal = use.refusals.get(kind)
+        usage = self._usage(engine)
+        usage.own += 1
+        refusal = usage.refusals.get(kind)
         if refusal is not None:
-            refusal.on_trial = True
-        return Place(lambda: _give_back(use, refusal))
+            refusal.is_probing = True
+        return Place(lambda: _release(usage, refusal))
 
     def answered(self, engine: EngineEntry, kind: str = "") -> None:
         """
-        Note that an engine works, and takes requests of a kind.
+        Record an answer, which ends the backoff of an engine for a kind of request.
         """
-        use = self._use(engine)
-        use.refusals.pop(kind, None)
-        use.failures = 0
-        use.paused_until = 0.0
-        use.return_at = 0.0
+        usage = self._usage(engine)
+        usage.refusals.pop(kind, None)
+        usage.failures = 0
+        usage.backoff_until = 0.0
+        usage.retry_at = 0.0
 
     def refused(self, engine: EngineEntry, kind: str = "") -> None:
         """
-        Note that an engine takes no requests of a kind just now.
+        Record that an engine refused a request of a kind.
         """
-        refusal = self._use(engine).refusals.setdefault(kind, _Refusal())
-        pause = min(_REFUSED_PAUSE_MOST, _REFUSED_PAUSE * 2**refusal.count)
+        refusal = self._usage(engine).refusals.setdefault(kind, _Refusal())
+        backoff = min(_MAX_REFUSAL_BACKOFF, _REFUSAL_BACKOFF * 2**refusal.count)
         refusal.count += 1
-        refusal.until = boot_time() + pause
+        refusal.until = boot_time() + backoff
 
     def overtaken(self, engine: EngineEntry) -> None:
         """
-        Note that another engine was asked later and answered first.
+        Record that another engine got a request later and answered it first.
         """
-        self._use(engine).overtaken_until = boot_time() + _OVERTAKEN_PAUSE
+        self._usage(engine).overtaken_until = boot_time() + _OVERTAKEN_PENALTY
 
     def failed(self, engine: EngineEntry) -> None:
         """
-        Note that an engine did not answer, or not as it should.
+        Record that an engine gave no usable answer.
         """
-        use = self._use(engine)
-        use.failures += 1
-        doubled = _FAILED_PAUSE * 2 ** (use.failures - 1)
-        use.paused_until = boot_time() + min(_FAILED_PAUSE_MOST, doubled)
+        usage = self._usage(engine)
+        usage.failures += 1
+        backoff = _FAILURE_BACKOFF * 2 ** (usage.failures - 1)
+        usage.backoff_until = boot_time() + min(_MAX_FAILURE_BACKOFF, backoff)
 
-    def _among(self, engines: Mapping[str, EngineEntry]) -> EngineEntry | None:
+    def _choose_among(self, engines: Mapping[str, EngineEntry]) -> EngineEntry | None:
         if not engines:
             return None
         candidates = [
-            Candidate(engine_id, max(1, engine.slots), self._use(engine).own)
+            Candidate(engine_id, max(1, engine.slots), self._usage(engine).own)
             for engine_id, engine in engines.items()
         ]
         return engines[self._choose(candidates).name]
 
-    def _use(self, engine: EngineEntry) -> _Use:
-        return self._uses[engine.incarnation]
+    def _usage(self, engine: EngineEntry) -> _EngineUsage:
+        return self._usage_by_engine[engine.incarnation]
 
-    def _rested(self, engine: EngineEntry, kind: str, now: float) -> bool:
-        return self._use(engine).is_rested(kind, now)
+    def _is_eligible(self, engine: EngineEntry, kind: str, now: float) -> bool:
+        return self._usage(engine).is_eligible(kind, now)
 
 
-def _give_back(use: _Use, refusal: _Refusal | None) -> None:
-    use.own -= 1
+def _release(usage: _EngineUsage, refusal: _Refusal | None) -> None:
+    usage.own -= 1
     if refusal is not None:
-        refusal.on_trial = False
+        refusal.is_probing = False
--- a/packages/saddledoord/src/saddledoord/serving/silence.py
+++ b/packages/saddledoord/src/saddledoord/serving/silence.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Engines that have gone silent, until they answer again.
+Excludes unresponsive engines until they answer again.
 """
 
 from __future__ import annotations
@@ -20,55 +20,52 @@
 
 _log = structlog.get_logger()
 
-#: Pause before an engine that gave no report is asked again, in seconds; a report that
-#: gets no answer takes 0.5 s.
-_PAUSE = 0.1
-#: How long an engine is asked, in seconds. After that items may try it: whoever cannot
-#: be reached for so long has lost its entry, and one that serves without answering
-#: reports must not be left out for good.
-_LIMIT = 10.0
+#: Pause between two probes of an engine, in seconds.
+_PROBE_INTERVAL = 0.1
+#: Longest time for which an engine is probed and excluded, in seconds: an engine that
+#: serves requests but answers no probe must not be excluded for good.
+_PROBE_LIMIT = 10.0
 
 
 class SilentEngines:
     """
-    Asks engines that have failed for a report, and leaves them out until they give one.
+    Probes engines that have failed, and excludes them until they report their state.
 
-    A report takes no slot and a few ms. An item that tries a silent engine waits for
-    0.3 s or more, and its step with it: in plays with a data centre cut off for 6 s the
-    texts that steps waited for tried up to three silent engines, 1 s each.
+    A probe takes no slot and little time, while an item that is sent to an unresponsive
+    engine has to wait for a timeout.
     """
 
     def __init__(self, engines: Engines, memory: EngineMemory) -> None:
         self._engines = engines
-        self._asking = memory.table(set, _cancel)
+        self._probes = memory.table(set, _cancel)
 
     def note(self, engine: EngineEntry) -> None:
         """
-        Leave an engine out until it answers.
+        Exclude an engine until it answers a probe.
         """
-        asking: set[asyncio.Task] = self._asking[engine.incarnation]
-        if not asking:
-            task = asyncio.create_task(self._ask(engine))
-            asking.add(task)
-            task.add_done_callback(asking.discard)
+        probes: set[asyncio.Task] = self._probes[engine.incarnation]
+        if not probes:
+            task = asyncio.create_task(self._probe(engine))
+            probes.add(task)
+            task.add_done_callback(probes.discard)
 
     def __contains__(self, engine: Incarnation) -> bool:
-        return bool(self._asking.get(engine))
+        return bool(self._probes.get(engine))
 
-    async def _ask(self, engine: EngineEntry) -> None:
-        began = boot_time()
-        while boot_time() < began + _LIMIT:
+    async def _probe(self, engine: EngineEntry) -> None:
+        started_at = boot_time()
+        while boot_time() < started_at + _PROBE_LIMIT:
             state = await self._engines.state(engine)
             if state is not None and state.is_of(engine):
                 break
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_PROBE_INTERVAL)
         _log.info(
             "engine_asked",
             engine=engine.engine_id,
-            silent=round(boot_time() - began, 3),
+            silent=round(boot_time() - started_at, 3),
         )
 
 
-def _cancel(asking: set[asyncio.Task]) -> None:
-    for task in asking:
+def _cancel(probes: set[asyncio.Task]) -> None:
+    for task in probes:
         task.cancel()
--- a/tests/end_watches.py
+++ b/tests/end_watches.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of the watch over engines that end, without a store or engines.
+Builders of crash watches without a store or engines.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from saddledoord.serving.engine_ends import EngineEndWatch
 
 
-__all__ = ["Told", "make_end_watch"]
+__all__ = ["FakeControlLog", "make_end_watch"]
 
 
 class _Engines:
@@ -26,51 +26,51 @@
         return self._gone
 
 
-class Told:
+class FakeControlLog:
     """
-    A log of leases that nobody holds, and what is told besides.
+    A control stream without leases, as `LeaseLog` and `SharedLog` provide it.
 
-    :ivar asked_at: When the newest question began that has ended.
-    :ivar missed: Records that come with the next question.
-    :ivar records: What the watch has appended.
+    :ivar last_read_at: Start of the newest read that has ended, monotonic, in seconds.
+    :ivar unread: Records that the next read returns.
+    :ivar records: Records that the watch has appended.
     """
 
-    def __init__(self, asked_at: float = float("inf")) -> None:
-        self.asked_at = asked_at
-        self.missed: list[EngineEnded | RequestsCleared] = []
+    def __init__(self, last_read_at: float = float("inf")) -> None:
+        self.last_read_at = last_read_at
+        self.unread: list[EngineEnded | RequestsCleared] = []
         self.records: list[bytes] = []
-        self._fold: Callable[[object], None] = lambda record: None
+        self._apply: Callable[[object], None] = lambda record: None
 
-    def on_other(self, fold: Callable[[object], None]) -> None:
-        self._fold = fold
+    def on_other_record(self, apply: Callable[[object], None]) -> None:
+        self._apply = apply
 
     async def sync(self) -> bool:
-        for record in self.missed:
-            self.hear(record)
-        self.asked_at = boot_time()
+        for record in self.unread:
+            self.deliver(record)
+        self.last_read_at = boot_time()
         return True
 
     async def append(self, stream, records, patience=1.0) -> Appended:
         self.records += records
         return Appended(0)
 
-    def hear(self, record: EngineEnded | RequestsCleared) -> None:
+    def deliver(self, record: EngineEnded | RequestsCleared) -> None:
         """
-        Have the watch read a record.
+        Pass a record to the watch.
         """
-        self._fold(record)
+        self._apply(record)
 
-    def holds(self, record: EngineEnded | RequestsCleared) -> bool:
+    def has_record(self, record: EngineEnded | RequestsCleared) -> bool:
         return encode_record(record).encode() in self.records
 
 
 def make_end_watch(
-    view: ClusterView, told: Told | None = None, gone: bool = False
+    view: ClusterView, control_log: FakeControlLog | None = None, gone: bool = False
 ) -> EngineEndWatch:
     """
-    Return a watch.
+    Return a crash watch.
 
-    :param gone: Whether engines that are asked are found to be gone.
+    :param gone: Whether checked engines are found to have crashed.
     """
-    told = told or Told()
-    return EngineEndWatch(_Engines(gone), view.memory, told, told)
+    control_log = control_log or FakeControlLog()
+    return EngineEndWatch(_Engines(gone), view.memory, control_log, control_log)
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A log in memory, for tests of what reads and writes one.
+A log in memory.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 class FakeLog:
     """
-    Streams of records, and what a test wants to go wrong.
+    Streams of records, with failures on demand.
 
-    :ivar lose: So many appends are done and get no answer.
-    :ivar away: Whether reads and appends fail, and nothing is done.
-    :ivar appends: Every record that anybody tried to append.
-    :ivar reads: Reads of each stream, a count.
+    :ivar lose: Number of further appends that take effect but are not answered.
+    :ivar away: Whether reads and appends fail without an effect.
+    :ivar appends: All records of attempted appends.
+    :ivar reads: Number of reads by stream.
     """
 
     def __init__(self, largest_record: int = 1000) -> None:
@@ -66,7 +66,7 @@
         patience: float = USUAL_PATIENCE,
     ) -> LogPage:
         self.reads[stream] += 1
-        # With a wait the newest records come at once; without news the wait passes.
+        # A read waits for its whole time if there is no record, whatever is appended.
         end = len(self.records[stream])
         await asyncio.sleep(wait if start >= end else 0)
         if self.away:
--- a/tests/function_engines.py
+++ b/tests/function_engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of what passes requests through, before engines that are functions.
+Builders of a `PassThrough` whose engines answer by a function.
 """
 
 from __future__ import annotations
@@ -27,21 +27,22 @@
 
 class FunctionEngines:
     """
-    Engines that answer as a function says.
+    Engines that answer by a function.
 
-    :ivar asked: Names of the engines that were called, in order.
+    :param answer: Returns the outcome of a call.
+    :ivar called: Ids of the engines that were called, in order.
     """
 
     def __init__(
         self, answer: Callable[[EngineEntry, ForwardedRequest], Awaitable[Outcome]]
     ) -> None:
-        self.asked: list[str] = []
+        self.called: list[str] = []
         self._answer = answer
 
     async def call(
         self, engine: EngineEntry, request: ForwardedRequest, deadline: float
     ) -> Outcome:
-        self.asked.append(engine.engine_id)
+        self.called.append(engine.engine_id)
         return await self._answer(engine, request)
 
 
@@ -49,7 +50,9 @@
     engines: FunctionEngines, route: GatewayRoute, count: int = 2
 ) -> tuple[PassThrough, EnginePool, ClusterView]:
     """
-    Return what serves a route before so many engines, named ``desk-0`` and on.
+    Return a `PassThrough` with one route, its pool and its view.
+
+    :param count: Number of engines, which are named from ``desk-0``.
     """
     view = ClusterView()
     view.apply_operator(KeyedEntry("config", 0, make_gateway_config(1, [route])))
@@ -57,12 +60,14 @@
         entry = make_engine_entry(f"desk-{index}")
         view.apply_engine(KeyedEntry(entry.engine_id, index, entry))
     pool = EnginePool(view, least_outstanding(lambda: 0.0))
-    lives = EngineLives(view)
-    ends = make_end_watch(view)
+    timeouts = EngineLives(view)
+    crash_watch = make_end_watch(view)
     admission = Admission(view, boot_time, KeyBounds(2.0))
-    serving = PassThrough(view, pool, engines, lives, ends, admission, _uncounted)
-    return serving, pool, view
+    pass_through = PassThrough(
+        view, pool, engines, timeouts, crash_watch, admission, _ignore_request
+    )
+    return pass_through, pool, view
 
 
-def _uncounted(route, code, seconds) -> None:
+def _ignore_request(route, code, seconds) -> None:
     pass
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -50,14 +50,14 @@
     Guard(
         "ends outlive all nodes",
         f"{DAEMON}/cluster/leases.py",
-        "        self._other(record)\n",
+        "        self._on_other_record(record)\n",
         "",
         (CRASHING, "loss_of_all_edges"),
     ),
     Guard(
         "a node that stood still asks before it judges",
         _WATCH,
-        "        return boot_time() - self._leases.asked_at <= _STALE\n",
+        "        return boot_time() - self._leases.last_read_at <= _MAX_READ_AGE\n",
         "        return True\n",
         (CRASHING, "stood_still"),
     ),
@@ -106,30 +106,30 @@
     Guard(
         "an engine that ran a request for long is not ended by it",
         _WATCH,
-        "                if run.began <= ended_at <= run.began + _SOON\n",
-        "                if run.began <= ended_at\n",
+        "if run.started_at <= ended_at <= run.started_at + _CRASH_WINDOW\n",
+        "if run.started_at <= ended_at\n",
         (END_WATCH, "ran_for_long"),
     ),
     Guard(
         "what an engine has answered is not blamed for its end",
         _WATCH,
-        """        self._life.runs.discard(self._run)
-        self._watch.note_survived(self._run.key)
+        """        self._engine_runs.runs.discard(self._run)
+        self._watch.clear_request(self._run.key)
 """,
-        "        self._watch.note_survived(self._run.key)\n",
+        "        self._watch.clear_request(self._run.key)\n",
         (END_WATCH, "answered_before_its_end"),
     ),
     Guard(
         "a timer that fires after a standstill shows nothing",
         _WATCH,
-        "        if boot_time() - run.began <= _SOON + _ON_TIME:\n",
-        "        if run.began:\n",
+        "if boot_time() - run.started_at <= _CRASH_WINDOW + _TIMER_TOLERANCE:\n",
+        "if run.started_at:\n",
         (END_WATCH, "standstill"),
     ),
     Guard(
         "what waits for the store is bounded",
         _WATCH,
-        "deque[_Record](maxlen=_MOST_WAITING)",
+        "deque[_Record](maxlen=_MAX_PENDING_RECORDS)",
         "deque[_Record]()",
         (END_WATCH, "waits_for_the_store"),
     ),
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -73,7 +73,7 @@
     Guard(
         "what is in flight at an engine ends with its life",
         f"{DAEMON}/cluster/lives.py",
-        "            limit.reschedule(now)\n",
+        "            timeout.reschedule(now)\n",
         "            pass\n",
         (LIVES, "repeated_at_once or answer_at_once or leaves_an_engine"),
     ),
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -51,7 +51,7 @@
         "a scoring call goes to no second engine without a known log end",
         f"{DAEMON}/serving/pass_through.py",
         "            attempts,\n            may_begin,\n",
-        "            attempts,\n            _always,\n",
+        "            attempts,\n            _always_true,\n",
         (PASS, "no_second_instance"),
     ),
     Guard(
--- a/tests/guard_rows/nodes.py
+++ b/tests/guard_rows/nodes.py
@@ -29,7 +29,7 @@
     Guard(
         "a node knows the engines before it is ready",
         f"{DAEMON}/gateway.py",
-        "engines_known = self._entries.known",
+        "engines_known = self._entries.is_loaded",
         "engines_known = True",
         (REQUESTS, "only_once_it_knows"),
     ),
@@ -92,14 +92,14 @@
     Guard(
         "news of jobs are gathered",
         f"{DAEMON}/cluster/follow.py",
-        "await asyncio.sleep(self._gather())",
+        "await asyncio.sleep(self._batch_delay())",
         "pass",
         (FOLLOW, "as_it_gathers"),
     ),
     Guard(
         "news of engines are gathered",
         f"{DAEMON}/cluster/follow.py",
-        "await asyncio.sleep(_REGISTRY_GATHER)",
+        "await asyncio.sleep(_REGISTRY_BATCH_DELAY)",
         "pass",
         (FOLLOW, "entries_that_change"),
     ),
@@ -113,7 +113,7 @@
     Guard(
         "a share is taken with what the node before left",
         f"{DAEMON}/cluster/work_shares.py",
-        "        await self._taken()\n",
+        "        await self._on_acquired()\n",
         "",
         (SHARES, "keeps_it"),
     ),
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -88,15 +88,15 @@
     Guard(
         "a sick engine is tried again by one request at a time",
         f"{DAEMON}/serving/pool.py",
-        "self._use(engine).return_at = boot_time() + _RETURN_SPACING",
+        "self._usage(engine).retry_at = boot_time() + _RETRY_INTERVAL",
         "pass",
         (ATTEMPTS, "one_at_a_time"),
     ),
     Guard(
         "what a request may have waited unread counts",
         f"{DAEMON}/serving/pass_through.py",
-        "held = time_left(limit, route.objective, held_up)",
-        "held = limit",
+        "time_limit = time_left(limit, route.objective, held_up)",
+        "time_limit = limit",
         (STANDSTILLS, "hears_within_its_time"),
     ),
     Guard(
@@ -116,7 +116,7 @@
     Guard(
         "a second engine works beside a slow one",
         f"{DAEMON}/serving/pass_through.py",
-        "if not self._may_overlap(current):\n            return left",
+        "if not self._may_hedge(current):\n            return left",
         "if True:\n            return left",
         (REQUESTS, "slow_engine"),
     ),
@@ -144,8 +144,8 @@
     Guard(
         "paused engines are asked rather than none",
         f"{DAEMON}/serving/pool.py",
-        "for e in fast or rested or untried}",
-        "for e in fast or rested}",
+        "for e in fast or eligible or untried}",
+        "for e in fast or eligible}",
         (PASS, "rather_than_none"),
     ),
     Guard(
@@ -158,7 +158,7 @@
     Guard(
         "an engine that was overtaken comes after the others",
         f"{DAEMON}/serving/pool.py",
-        "self._use(e).overtaken_until <= now",
+        "self._usage(e).overtaken_until <= now",
         "True",
         (POOL, "overtaken"),
     ),
--- a/tests/test_asking_again.py
+++ b/tests/test_asking_again.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests that go again to an engine that has had them, and those that must not.
+Which requests are retried at an engine that has received them.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 def _attempts(*ends: tuple[Incarnation, AttemptEnd], **changes) -> EngineAttempts:
     """
-    Return attempts that ended at 10.0, but for those that run.
+    Return attempts that ended at 10.0, except those that still run.
     """
     attempts = EngineAttempts(**({"most": 3, "repeatable": True} | changes))
     for engine, end in ends:
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("end", _ENDED)
 def test_an_engine_that_is_done_with_a_request_may_have_it_again(end):
     """
-    After a pause, while another engine works on it.
+    After a backoff, also while another engine runs the request.
     """
     attempts = _attempts((_A, end), (_B, AttemptEnd.RUNNING))
     assert list(attempts.may_return_at()) == [_A]
@@ -60,7 +60,7 @@
 
 def test_a_request_does_not_return_where_it_broke_off():
     """
-    Not even if the engine gave a usable answer before or after.
+    The engine may still run it, whatever it answered to another attempt.
     """
     assert _attempts((_A, AttemptEnd.BROKEN)).may_return_at() == {}
     twice = _attempts((_A, AttemptEnd.BROKEN), (_A, AttemptEnd.NOT_RUN))
@@ -70,14 +70,14 @@
 @pytest.mark.parametrize("end", _ENDED)
 def test_an_unrepeatable_request_returns_nowhere(end):
     """
-    Whatever its engine vouches for.
+    Not even if the engine did not run it.
     """
     assert _attempts((_A, end), repeatable=False).may_return_at() == {}
 
 
 def test_the_pause_doubles_with_each_attempt_at_the_engine():
     """
-    So that an engine that stays sick is asked a few times only.
+    So that an engine that keeps failing gets few attempts.
     """
     pauses = [
         _attempts(*[(_A, AttemptEnd.UNUSABLE)] * count).may_return_at()[_A] - 10.0
@@ -92,7 +92,7 @@
 @given(st.integers(1, 4), st.lists(_CHOICES, max_size=20))
 def test_attempts_stay_within_what_the_route_allows(most, choices):
     """
-    Engines, and attempts that run, have failed or broke off, whatever comes.
+    The limit holds for engines and for attempts that run, failed or were interrupted.
     """
     attempts = EngineAttempts(most, True)
     spent = Counter()
@@ -115,26 +115,28 @@
 
 def _serve(answer, count: int = 1, patience: float = 2.0, **route):
     """
-    Ask `count` times at once, with two engines; return outcomes, calls and seconds.
+    Serve `count` requests at once with two engines.
+
+    :returns: The outcomes, the number of calls by engine and the duration in seconds.
     """
     engines = FunctionEngines(answer)
-    serving, _, _ = make_pass_through(engines, make_route("/look/", **route))
+    pass_through, _, _ = make_pass_through(engines, make_route("/look/", **route))
 
     async def ask() -> list:
         asking = [
-            serving.serve(make_request(f"/look/{number}"), patience)
+            pass_through.serve(make_request(f"/look/{number}"), patience)
             for number in range(count)
         ]
         return await asyncio.gather(*asking)
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     outcomes = asyncio.run(ask())
-    return outcomes, Counter(engines.asked), time.monotonic() - began
+    return outcomes, Counter(engines.called), time.monotonic() - started_at
 
 
 def test_a_request_that_broke_off_waits_for_the_slow_engine():
     """
-    The first one may still run it, or have ended under it.
+    The engine of the first attempt may still run it, or may have crashed.
     """
 
     async def answer(engine, request):
@@ -149,7 +151,7 @@
 
 def test_a_request_refused_everywhere_is_refused_at_once():
     """
-    Another VM may have room for it.
+    Another VM may accept it.
     """
 
     async def answer(engine, request):
@@ -162,7 +164,7 @@
 
 def test_no_attempt_is_begun_that_cannot_be_answered_in_time():
     """
-    The final answer comes when nothing more can be done.
+    The caller gets the outcome at once instead.
     """
 
     async def answer(engine, request):
@@ -175,7 +177,7 @@
 
 def test_an_engine_that_stays_sick_is_tried_again_by_one_at_a_time():
     """
-    20 requests fail with it at once, and the other engine is slow.
+    After 20 requests have failed at the same time, and the other engine is slow.
     """
 
     async def answer(engine, request):
@@ -190,14 +192,14 @@
 
 def test_all_go_again_once_one_of_them_has_been_answered():
     """
-    The engine was sick for 0.3 s.
+    The engine fails for 0.3 s.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     async def answer(engine, request):
         if engine.engine_id == "desk-0":
-            sick = time.monotonic() < began + 0.3
-            return _UNUSABLE if sick else _DONE
+            is_failing = time.monotonic() < started_at + 0.3
+            return _UNUSABLE if is_failing else _DONE
         await asyncio.sleep(5.0)
         return _DONE
 
@@ -207,7 +209,7 @@
 
 def test_a_request_of_an_unrepeatable_route_is_not_sent_again():
     """
-    Its only engine gave another request's answer.
+    Its attempt got the answer of another request.
     """
 
     async def answer(engine, request):
--- a/tests/test_engine_end_watch.py
+++ b/tests/test_engine_end_watch.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a node makes of a request that breaks off, and what it tells the others.
+How a node handles interrupted requests, and what it reports to the other nodes.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import asyncio
 
 import pytest
-from end_watches import Told, make_end_watch
+from end_watches import FakeControlLog, make_end_watch
 
 from builders import make_engine_entry
 from saddledoor import EngineEnded, RequestsCleared, Standing
@@ -22,22 +22,24 @@
 
 class _Node:
     """
-    A watch over engines that are all gone when they are asked, or all there.
+    A crash watch whose engines have either all crashed or are all alive.
     """
 
-    def __init__(self, gone: bool = True, told: Told | None = None) -> None:
-        self.told = told or Told()
+    def __init__(
+        self, gone: bool = True, control_log: FakeControlLog | None = None
+    ) -> None:
+        self.control_log = control_log or FakeControlLog()
         self.view = ClusterView()
-        self.watch: EngineEndWatch = make_end_watch(self.view, self.told, gone)
+        self.watch: EngineEndWatch = make_end_watch(self.view, self.control_log, gone)
 
-    async def breaks(self, index: int, *keys: str) -> None:
+    async def interrupt(self, index: int, *keys: str) -> None:
         """
-        Have all requests at an engine break off at once.
+        Interrupt all requests at an engine at the same time.
         """
         engine = make_engine_entry(f"engine-{index}")
         runs = [self.watch.running(engine.incarnation, key) for key in keys]
-        for at_engine in [run.__enter__() for run in runs]:
-            at_engine.broke_off(engine)
+        for tracked in [run.__enter__() for run in runs]:
+            tracked.broke_off(engine)
         await asyncio.sleep(0.01)
         for run in runs:
             run.__exit__(None, None, None)
@@ -45,70 +47,70 @@
     def standings(self, *keys: str) -> list[Standing]:
         return [self.watch.standing(key) for key in keys]
 
-    async def written(self) -> None:
+    async def flush(self) -> None:
         """
-        Bring what was told into the log.
+        Append pending records to the log.
         """
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
                 await self.watch.run()
 
 
-def test_a_request_under_which_three_engines_ended_is_barred():
+def test_a_request_at_three_crashes_is_quarantined():
     """
-    And those beside it, one of them at all three, once it was there alone.
+    A third crash without another suspect also clears the requests beside it.
     """
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         node = _Node()
-        await node.breaks(0, "cause", "b", "c")
-        await node.breaks(1, "cause", "b")
-        await node.breaks(2, "cause", "b")
+        await node.interrupt(0, "cause", "b", "c")
+        await node.interrupt(1, "cause", "b")
+        await node.interrupt(2, "cause", "b")
         unclear = node.standings("cause", "b")
         assert unclear == [Standing.UNCLEAR] * 2
-        await node.breaks(3, "cause")
+        await node.interrupt(3, "cause")
         return node.standings("cause", "b", "c")
 
     expected = [Standing.BARRED, Standing.FREE, Standing.FREE]
-    assert asyncio.run(play()) == expected
+    assert asyncio.run(scenario()) == expected
 
 
 def test_an_engine_that_still_serves_speaks_against_nobody():
     """
-    Its connection was closed for another reason, however often.
+    A closed connection to an engine that is alive is no crash.
     """
 
-    async def play() -> tuple[list[Standing], list[bytes]]:
+    async def scenario() -> tuple[list[Standing], list[bytes]]:
         node = _Node(gone=False)
         for _ in range(5):
-            await node.breaks(0, "a")
-        await node.written()
-        return node.standings("a"), node.told.records
+            await node.interrupt(0, "a")
+        await node.flush()
+        return node.standings("a"), node.control_log.records
 
-    assert asyncio.run(play()) == ([Standing.FREE], [])
+    assert asyncio.run(scenario()) == ([Standing.FREE], [])
 
 
-def test_while_an_engine_is_asked_a_request_that_broke_off_is_a_suspect():
+def test_an_interrupted_request_is_a_suspect_while_its_engine_is_checked():
     """
-    So that those that broke off together do not go on together.
+    So that requests that were interrupted together are not retried together.
     """
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         node = _Node()
         engine = make_engine_entry("engine-0")
         with node.watch.running(engine.incarnation, "a") as run:
             run.broke_off(engine)
             return node.standings("a", "b")
 
-    assert asyncio.run(play()) == [Standing.SUSPECT, Standing.FREE]
+    assert asyncio.run(scenario()) == [Standing.SUSPECT, Standing.FREE]
 
 
-def test_a_later_life_in_the_entry_tells_of_the_end():
+def test_an_entry_of_a_later_incarnation_reports_a_crash():
     """
-    Without a question; the connection may say nothing.
+    The crash is detected without a check of the address.
     """
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         node = _Node(gone=False)
         first = make_engine_entry("engine-0", started_at=1)
         node.view.apply_engine(KeyedEntry("engine-0", 0, first))
@@ -117,16 +119,16 @@
             node.view.apply_engine(KeyedEntry("engine-0", 1, second))
         return node.standings("a")
 
-    assert asyncio.run(play()) == [Standing.SUSPECT]
+    assert asyncio.run(scenario()) == [Standing.SUSPECT]
 
 
 def test_a_request_that_ran_for_long_is_not_blamed(monkeypatch):
     """
-    An engine that ends under it after that ends by itself.
+    A crash long after the request started has another cause.
     """
-    monkeypatch.setattr(engine_ends, "_SOON", 0.05)
+    monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         node = _Node()
         engine = make_engine_entry("engine-0")
         with node.watch.running(engine.incarnation, "a") as run:
@@ -135,159 +137,159 @@
             await asyncio.sleep(0.01)
         return node.standings("a")
 
-    assert asyncio.run(play()) == [Standing.FREE]
+    assert asyncio.run(scenario()) == [Standing.FREE]
 
 
 def test_a_suspect_is_cleared_once_it_has_run_for_long(monkeypatch):
     """
-    While it runs on; and the other nodes are told.
+    It is cleared while it still runs, and the other nodes are notified.
     """
-    monkeypatch.setattr(engine_ends, "_SOON", 0.05)
+    monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
 
-    async def play() -> tuple[list[Standing], bool]:
+    async def scenario() -> tuple[list[Standing], bool]:
         node = _Node()
-        await node.breaks(0, "a")
+        await node.interrupt(0, "a")
         with node.watch.running(make_engine_entry("engine-1").incarnation, "a"):
             await asyncio.sleep(0.1)
             standings = node.standings("a")
-        await node.written()
-        return standings, node.told.holds(RequestsCleared(("a",)))
+        await node.flush()
+        return standings, node.control_log.has_record(RequestsCleared(("a",)))
 
-    assert asyncio.run(play()) == ([Standing.FREE], True)
+    assert asyncio.run(scenario()) == ([Standing.FREE], True)
 
 
 def test_a_standstill_clears_nobody(monkeypatch):
     """
-    The timer that was to show that the engine lived fires after it; nothing is known.
+    A timer that fires late after a process pause does not show that the engine lived.
     """
-    monkeypatch.setattr(engine_ends, "_SOON", 0.05)
+    monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
     slept = 0.0
     monkeypatch.setattr(engine_ends, "boot_time", lambda: boot_time() + slept)
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         nonlocal slept
         node = _Node()
-        await node.breaks(0, "a")
+        await node.interrupt(0, "a")
         with node.watch.running(make_engine_entry("engine-1").incarnation, "a"):
             slept = 5.0
             await asyncio.sleep(0.1)
             return node.standings("a")
 
-    assert asyncio.run(play()) == [Standing.SUSPECT]
+    assert asyncio.run(scenario()) == [Standing.SUSPECT]
 
 
 @pytest.mark.parametrize("end", ["survived", "not_run"])
 def test_what_the_engine_answered_before_its_end_is_not_blamed(end):
     """
-    Neither what it ran nor what it refused, in the moment before.
+    Neither a request that completed before the crash nor one that was refused.
     """
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         node = _Node()
         with node.watch.running(make_engine_entry("engine-0").incarnation, "a") as run:
             getattr(run, end)()
-        await node.breaks(0, "b")
+        await node.interrupt(0, "b")
         return node.standings("a", "b")
 
-    assert asyncio.run(play()) == [Standing.FREE, Standing.SUSPECT]
+    assert asyncio.run(scenario()) == [Standing.FREE, Standing.SUSPECT]
 
 
-def test_what_left_an_engine_just_before_its_end_may_be_the_cause():
+def test_a_request_cancelled_just_before_a_crash_is_a_suspect():
     """
-    The engine may have begun to run it all the same.
+    The engine may have started a request that was cancelled.
     """
 
-    async def play() -> list[Standing]:
+    async def scenario() -> list[Standing]:
         node = _Node()
         with node.watch.running(make_engine_entry("engine-0").incarnation, "a"):
             pass
-        await node.breaks(0, "b")
+        await node.interrupt(0, "b")
         return node.standings("a", "b")
 
-    assert asyncio.run(play()) == [Standing.SUSPECT] * 2
+    assert asyncio.run(scenario()) == [Standing.SUSPECT] * 2
 
 
-def test_an_answer_is_told_only_of_a_suspect():
+def test_an_answer_is_reported_only_for_a_suspect():
     """
-    Answers of all others cost no record.
+    Answers to other requests append no record.
     """
 
-    async def play() -> list[bytes]:
+    async def scenario() -> list[bytes]:
         node = _Node()
         with node.watch.running(make_engine_entry("engine-1").incarnation, "a") as run:
             run.survived()
-        await node.written()
-        return node.told.records
+        await node.flush()
+        return node.control_log.records
 
-    assert asyncio.run(play()) == []
+    assert asyncio.run(scenario()) == []
 
 
-def test_whoever_has_stood_still_asks_first():
+def test_a_paused_node_reads_the_control_stream_first():
     """
-    And knows what was told meanwhile; whoever is current does not ask.
+    After a process pause the control stream is read before a request is judged.
     """
 
-    async def play() -> list[Standing]:
-        node = _Node(told=Told(asked_at=boot_time() - 5.0))
-        node.told.missed = [EngineEnded(f"e-{n}", 1, ("a",)) for n in range(3)]
+    async def scenario() -> list[Standing]:
+        node = _Node(control_log=FakeControlLog(last_read_at=boot_time() - 5.0))
+        node.control_log.unread = [EngineEnded(f"e-{n}", 1, ("a",)) for n in range(3)]
         assert not node.watch.is_current()
         await node.watch.ask()
         assert node.watch.is_current()
         return node.standings("a")
 
-    assert asyncio.run(play()) == [Standing.BARRED]
+    assert asyncio.run(scenario()) == [Standing.BARRED]
 
 
-def test_a_node_that_has_just_asked_in_vain_holds_nothing_up():
+def test_a_recent_read_without_answer_delays_no_request():
     """
-    What is known holds meanwhile.
+    During an outage of the store a recent read is enough; known crashes count.
     """
 
-    class _Away(Told):
+    class _Away(FakeControlLog):
         async def sync(self) -> bool:
             raise AssertionError("not asked")
 
-    async def play() -> list[Standing]:
-        node = _Node(told=_Away(asked_at=boot_time()))
+    async def scenario() -> list[Standing]:
+        node = _Node(control_log=_Away(last_read_at=boot_time()))
         for number in range(3):
-            await node.breaks(number, "a")
+            await node.interrupt(number, "a")
         await node.watch.ask()
         return node.standings("a")
 
-    assert asyncio.run(play()) == [Standing.BARRED]
+    assert asyncio.run(scenario()) == [Standing.BARRED]
 
 
-def test_a_store_that_says_nothing_holds_a_request_up_for_a_moment():
+def test_an_unresponsive_store_delays_a_request_only_briefly():
     """
-    After a standstill; 0.3 s, and then it goes by what is known.
+    A read that hangs delays a request by its timeout only.
     """
 
-    class _Silent(Told):
+    class _Silent(FakeControlLog):
         async def sync(self) -> bool:
             await asyncio.sleep(60)
             return True
 
-    async def play() -> float:
-        node = _Node(told=_Silent(asked_at=0.0))
-        began = boot_time()
+    async def scenario() -> float:
+        node = _Node(control_log=_Silent(last_read_at=0.0))
+        started_at = boot_time()
         await node.watch.ask()
-        return boot_time() - began
+        return boot_time() - started_at
 
-    assert 0.2 < asyncio.run(play()) < 0.6
+    assert 0.2 < asyncio.run(scenario()) < 0.6
 
 
 def test_what_waits_for_the_store_is_bounded():
     """
-    256 records, the newest.
+    The newest records are kept.
     """
 
-    async def play() -> list[bytes]:
+    async def scenario() -> list[bytes]:
         node = _Node()
         for number in range(300):
-            await node.breaks(number, f"key-{number}")
-        await node.written()
-        return node.told.records
+            await node.interrupt(number, f"key-{number}")
+        await node.flush()
+        return node.control_log.records
 
-    records = asyncio.run(play())
+    records = asyncio.run(scenario())
     assert len(records) == 256
     assert b"key-299" in records[-1]
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-How often a node reads what others write all the time.
+How often followers read streams and registries that change all the time.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from saddledoord.ports import KeyedEntry, KeyedPage
 
 
-def _no() -> bool:
+def _false() -> bool:
     return False
 
 
 class _PromptLog(FakeLog):
     """
-    A log that ends a waiting read as soon as there is news.
+    A log that answers a waiting read as soon as there is a record.
     """
 
     async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
@@ -39,7 +39,7 @@
 
 async def _write(log: FakeLog, seconds: float) -> int:
     """
-    Append to the jobs fifty times a second; return how often.
+    Append to the stream of jobs 50 times a second; return the number of records.
     """
     until, count = boot_time() + seconds, 0
     while boot_time() < until:
@@ -52,12 +52,12 @@
 @pytest.mark.parametrize(("gather", "least", "most"), [(0.0, 25, 60), (0.1, 8, 13)])
 def test_a_node_reads_as_often_as_it_gathers_not_as_others_write(gather, least, most):
     """
-    50 appends a second cost each node 10 reads a second; it was one for each append.
+    The pause after new records bounds the number of reads, whatever is appended.
     """
     log = _PromptLog()
     seen: list[int] = []
 
-    async def play():
+    async def scenario():
         follower = LogFollower(
             log, "jobs", lambda offset, _: seen.append(offset), gather=lambda: gather
         )
@@ -67,14 +67,14 @@
         task.cancel()
         return written
 
-    written = asyncio.run(play())
+    written = asyncio.run(scenario())
     assert seen == list(range(written))
     assert least <= log.reads["jobs"] <= most
 
 
 class _Registry:
     """
-    A registry in which something changes all the time.
+    A registry that always has a new change.
     """
 
     def __init__(self) -> None:
@@ -91,29 +91,31 @@
 
 def test_entries_that_change_all_the_time_are_gathered():
     """
-    Five reads a second, not one for each heartbeat of each engine.
+    Not every renewal of an entry costs a read.
     """
     registry = _Registry()
 
-    async def play():
+    async def scenario():
         follower = RegistryFollower(registry, "engines", lambda entry: None)
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(1.0)
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert 2 <= registry.reads <= 6
 
 
 def test_a_reader_gets_what_was_listed_just_now():
     """
-    At a node that gathers: the step's last result must not wait for the next read.
+    A follower's pause after new records must not delay a reader's results.
     """
     log = FakeLog()
 
-    async def play():
+    async def scenario():
         texts = TextStore(log, 1000, 4000)
-        jobs = JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+        jobs = JobService(
+            log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false
+        )
         task = asyncio.create_task(jobs.run())
         await log.append("jobs", [encode_job_record(make_opened(make_job(20)))])
         for n in range(20):
@@ -124,4 +126,4 @@
             await asyncio.sleep(0.01)
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Engines that refuse: for how long, and for which requests.
+Which engines a pool chooses after refusals and failures.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 def _pool() -> tuple[EnginePool, EngineEntry]:
     """
-    A pool of one engine with two slots.
+    Return a pool of one engine with two slots, and the engine.
     """
     view = ClusterView()
     engine = make_engine_entry("e-1", slots=2)
@@ -26,7 +26,7 @@
 
 def _pool_of_two() -> tuple[EnginePool, EngineEntry, EngineEntry]:
     """
-    A pool whose first engine is first in this node's order.
+    Return a pool of two engines, and the engines in the order of preference.
     """
     view = ClusterView()
     engines = [make_engine_entry(f"e-{n}") for n in (1, 2)]
@@ -36,49 +36,49 @@
     return pool, *engines
 
 
-def _room(pool: EnginePool, engine: EngineEntry, model: str) -> bool:
+def _has_free_slot(pool: EnginePool, engine: EngineEntry, model: str) -> bool:
     return engine in pool.with_room(engine.service, model)
 
 
 def test_an_engine_that_refuses_one_model_takes_items_of_the_others():
     """
-    It loads the weights of that one.
+    It may be loading the weights of that model only.
     """
     pool, engine = _pool()
     pool.refused(engine, "model-a")
-    assert not _room(pool, engine, "model-a")
-    assert _room(pool, engine, "model-b")
+    assert not _has_free_slot(pool, engine, "model-a")
+    assert _has_free_slot(pool, engine, "model-b")
 
 
 def test_an_event_of_another_model_does_not_take_a_refusal_back():
     """
-    Otherwise every waiting item comes to the engine again after each of them.
+    Otherwise each event would send all waiting items to the engine again.
     """
     pool, engine = _pool()
     pool.refused(engine, "model-a")
     pool.answered(engine, "model-b")
     pool.answered(engine)
-    assert not _room(pool, engine, "model-a")
+    assert not _has_free_slot(pool, engine, "model-a")
     pool.answered(engine, "model-a")
-    assert _room(pool, engine, "model-a")
+    assert _has_free_slot(pool, engine, "model-a")
 
 
 def test_one_item_at_a_time_tries_an_engine_that_refused(monkeypatch):
     """
-    The others wait for what becomes of it.
+    The other items wait for its result.
     """
     pool, engine = _pool()
     pool.refused(engine, "model-a")
     monkeypatch.setattr("saddledoord.serving.pool.boot_time", lambda: 1e9)
-    assert _room(pool, engine, "model-a")
+    assert _has_free_slot(pool, engine, "model-a")
     with pool.take(engine, "model-a"):
-        assert not _room(pool, engine, "model-a")
-    assert _room(pool, engine, "model-a")
+        assert not _has_free_slot(pool, engine, "model-a")
+    assert _has_free_slot(pool, engine, "model-a")
 
 
 def test_a_request_that_cannot_wait_goes_to_an_engine_that_refused():
     """
-    A pause is a guess, a refusal is certain.
+    A backoff does not leave a request without an engine.
     """
     pool, engine = _pool()
     pool.refused(engine)
@@ -87,7 +87,7 @@
 
 def test_an_engine_that_was_overtaken_is_asked_after_the_others(monkeypatch):
     """
-    For a while; and rather than one that failed.
+    For a limited time; a failed engine is chosen after it.
     """
     pool, slow, other = _pool_of_two()
     assert pool.choose("desk") == slow
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Engines that have failed are asked before they get items again.
+Probes of engines that have failed.
 """
 
 from __future__ import annotations
@@ -16,70 +16,70 @@
 
 class _Engines:
     """
-    Engines that answer reports after a number of tries.
+    Engines that report their state after a number of probes.
     """
 
-    def __init__(self, silent_for: int) -> None:
-        self.asked = 0
-        self._silent_for = silent_for
+    def __init__(self, failed_probes: int) -> None:
+        self.probes = 0
+        self._failed_probes = failed_probes
 
     async def state(self, engine):
-        self.asked += 1
+        self.probes += 1
         await asyncio.sleep(0.01)
-        if self.asked <= self._silent_for:
+        if self.probes <= self._failed_probes:
             return None
         return EngineState({}, False, 0)
 
 
-def test_an_engine_is_left_out_until_it_answers():
+def test_an_engine_is_excluded_until_it_answers():
     """
-    It is asked one report at a time, however many items it failed.
+    It is probed once at a time, however many items it failed.
     """
 
-    async def play():
-        engines = _Engines(silent_for=3)
-        silent = SilentEngines(engines, EngineMemory())
+    async def scenario():
+        engines = _Engines(failed_probes=3)
+        unresponsive = SilentEngines(engines, EngineMemory())
         engine = make_engine_entry("e-1")
         for _ in range(5):
-            silent.note(engine)
-        assert Incarnation("e-1") in silent
-        assert Incarnation("e-2") not in silent
-        while Incarnation("e-1") in silent:
+            unresponsive.note(engine)
+        assert Incarnation("e-1") in unresponsive
+        assert Incarnation("e-2") not in unresponsive
+        while Incarnation("e-1") in unresponsive:
             await asyncio.sleep(0.01)
-        assert engines.asked == 4
+        assert engines.probes == 4
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_engine_that_fails_anew_is_asked_anew():
+def test_an_engine_that_fails_again_is_probed_again():
     """
-    An answer says only that it lives at that moment.
+    An answered probe holds for one moment only.
     """
 
-    async def play():
-        engines = _Engines(silent_for=0)
-        silent = SilentEngines(engines, EngineMemory())
-        for asked in (1, 2):
-            silent.note(make_engine_entry("e-1"))
+    async def scenario():
+        engines = _Engines(failed_probes=0)
+        unresponsive = SilentEngines(engines, EngineMemory())
+        for probes in (1, 2):
+            unresponsive.note(make_engine_entry("e-1"))
             await asyncio.sleep(0.05)
-            assert Incarnation("e-1") not in silent
-            assert engines.asked == asked
+            assert Incarnation("e-1") not in unresponsive
+            assert engines.probes == probes
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_engine_that_never_answers_reports_is_tried_in_the_end(monkeypatch):
+def test_an_engine_that_answers_no_probe_is_not_excluded_for_good(monkeypatch):
     """
-    It may serve all the same.
+    It may still serve requests.
     """
-    monkeypatch.setattr("saddledoord.serving.silence._LIMIT", 0.3)
+    monkeypatch.setattr("saddledoord.serving.silence._PROBE_LIMIT", 0.3)
 
-    async def play():
-        silent = SilentEngines(_Engines(silent_for=1000), EngineMemory())
-        silent.note(make_engine_entry("e-1"))
+    async def scenario():
+        unresponsive = SilentEngines(_Engines(failed_probes=1000), EngineMemory())
+        unresponsive.note(make_engine_entry("e-1"))
         await asyncio.sleep(0.2)
-        assert Incarnation("e-1") in silent
+        assert Incarnation("e-1") in unresponsive
         await asyncio.sleep(0.3)
-        assert Incarnation("e-1") not in silent
+        assert Incarnation("e-1") not in unresponsive
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Nodes that all start at once read the jobs over one link, and answer for them.
+Many nodes that start at the same time and replay the jobs from one store.
 """
 
 from __future__ import annotations
@@ -23,26 +23,28 @@
 from saddledoord.ports import LogPage, StoreAwayError
 
 
-#: What the store sends to all nodes together and to one node, in bytes a second.
-_SHARED = 80_000_000
-_OWN = 3_000_000
-#: Four trainers' jobs of 45 s, one each 4 s; items of each and bytes of their bodies.
+#: Bandwidth of the store to all nodes together and to one node, in bytes a second.
+_SHARED_RATE = 80_000_000
+_NODE_RATE = 3_000_000
+#: Number of jobs, and of items in each.
 _JOBS = 48
 _ITEMS = 80
-_BODY = 500
-_TEXT = 6_500
-_LARGEST = 262_144
-#: Patience of a caller that allows no wait, and when an old job has to be there, in
-#: seconds.
-_CALLER_LIMIT = 1.5
-_SOON = 2.0
-#: How long a caller asks at most, in seconds.
-_ASKS_FOR = 10.0
-
-
-class _Line:
+#: Size of an item's body and of its text, in bytes.
+_BODY_SIZE = 500
+_TEXT_SIZE = 6_500
+#: Largest record of the log, in bytes.
+_MAX_RECORD = 262_144
+#: Timeout of one call by a caller, in seconds.
+_CALLER_TIMEOUT = 1.5
+#: Longest time until an old job can be read, in seconds.
+_MAX_READ_TIME = 2.0
+#: How long a caller retries, in seconds.
+_RETRY_LIMIT = 10.0
+
+
+class _Link:
     """
-    Sends what it is given in turn, also to readers that have left.
+    A link of limited bandwidth that sends pages in order, also to cancelled reads.
     """
 
     def __init__(self, rate: float) -> None:
@@ -51,7 +53,7 @@
 
     def sent_at(self, size: int) -> float:
         """
-        Return when the last byte is through, monotonic, in seconds.
+        Return when a page has been sent, monotonic, in seconds.
         """
         self._free_at = max(self._free_at, boot_time()) + size / self._rate
         return self._free_at
@@ -59,37 +61,37 @@
 
 class _SlowLog(FakeLog):
     """
-    What one node sees of a log whose link it shares with others.
+    A log as one node reads it over a link that it shares with others.
     """
 
-    def __init__(self, log: FakeLog, shared: _Line) -> None:
-        super().__init__(largest_record=_LARGEST)
+    def __init__(self, log: FakeLog, shared: _Link) -> None:
+        super().__init__(largest_record=_MAX_RECORD)
         self.records = log.records
-        self._lines = (shared, _Line(_OWN))
+        self._links = (shared, _Link(_NODE_RATE))
 
     async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        held = self.records[stream]
-        if start >= len(held):
+        records = self.records[stream]
+        if start >= len(records):
             await asyncio.sleep(wait)
-            return LogPage(start, (), len(held))
-        stop, size = start + 1, len(held[start])
-        while stop < len(held) and size + len(held[stop]) <= largest:
-            size += len(held[stop])
+            return LogPage(start, (), len(records))
+        stop, size = start + 1, len(records[start])
+        while stop < len(records) and size + len(records[stop]) <= largest:
+            size += len(records[stop])
             stop += 1
-        needed = max(line.sent_at(size) for line in self._lines) - boot_time()
+        needed = max(link.sent_at(size) for link in self._links) - boot_time()
         await asyncio.sleep(min(needed, patience))
         if needed > patience:
             raise StoreAwayError("too slow")
-        return LogPage(start, tuple(held[start:stop]), len(held))
+        return LogPage(start, tuple(records[start:stop]), len(records))
 
 
-def _no() -> bool:
+def _false() -> bool:
     return False
 
 
 def _service(log) -> JobService:
-    texts = TextStore(log, largest_record=_LARGEST, largest_append=8 * _LARGEST)
-    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _no, _no)
+    texts = TextStore(log, largest_record=_MAX_RECORD, largest_append=8 * _MAX_RECORD)
+    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false)
 
 
 def _watched(log: FakeLog) -> WatchedLog:
@@ -98,14 +100,14 @@
 
 async def _filled_log() -> FakeLog:
     """
-    Return a log of jobs that were submitted and listed before everybody started.
+    Return a log of jobs whose results were recorded before the nodes start.
     """
-    log = FakeLog(largest_record=_LARGEST)
+    log = FakeLog(largest_record=_MAX_RECORD)
     writer = _service(log)
     task = asyncio.create_task(writer.run())
     for n in range(_JOBS):
         job = make_job(_ITEMS, f"job-{n}")
-        items = tuple(replace(item, body=bytes(_BODY)) for item in job.items)
+        items = tuple(replace(item, body=bytes(_BODY_SIZE)) for item in job.items)
         assert await writer.submit(replace(job, items=items)) == Accepted()
         _list_items(log, job.job_id)
     task.cancel()
@@ -115,48 +117,46 @@
 
 def _list_items(log: FakeLog, job_id: str) -> None:
     for n in range(_ITEMS):
-        place = StoredText((len(log.records["texts"]),), _TEXT)
-        log.records["texts"].append(b"a" * _TEXT)
+        place = StoredText((len(log.records["texts"]),), _TEXT_SIZE)
+        log.records["texts"].append(b"a" * _TEXT_SIZE)
         result = ItemListed(job_id, ItemResult(f"item-{n}", True, place))
         log.records["jobs"].append(encode_job_record(result))
 
 
 async def _seconds_to_read(jobs: JobService, job_id: str) -> float:
     """
-    Ask again and again, as a caller does.
+    Read a job until it has results; return the duration.
     """
-    began = boot_time()
-    while boot_time() - began < _ASKS_FOR:
+    started_at = boot_time()
+    while boot_time() - started_at < _RETRY_LIMIT:
         try:
-            async with asyncio.timeout(_CALLER_LIMIT):
+            async with asyncio.timeout(_CALLER_TIMEOUT):
                 reading = await jobs.read(job_id, 0, 0.0)
         except TimeoutError:
             continue
         if isinstance(reading, JobReading) and reading.results:
             break
         await asyncio.sleep(0.1)
-    return boot_time() - began
+    return boot_time() - started_at
 
 
 @pytest.mark.parametrize("nodes", [84, 195])
 def test_an_old_job_can_be_read_soon_after_all_nodes_started_at_once(nodes):
     """
-    Each reads all jobs' records over the link that they share: 108 KB, and an old job
-    is there after 0.3 and 0.4 s. Where the items stood among the records it was 2.2 MB,
-    and 2.4 s at 84 nodes and 5.4 s at 195.
+    The bodies of items are no part of the replay, which would take too long with them.
     """
 
-    async def play():
+    async def scenario():
         log = await _filled_log()
-        shared = _Line(_SHARED)
+        shared = _Link(_SHARED_RATE)
         logs = [_watched(_SlowLog(log, shared)) for _ in range(nodes)]
-        asked = _service(logs[0])
+        service = _service(logs[0])
         others = [LogFollower(log, "jobs", lambda *_: None) for log in logs[1:]]
-        tasks = [asyncio.create_task(follower.run()) for follower in (asked, *others)]
-        took = await _seconds_to_read(asked, "job-0")
+        tasks = [asyncio.create_task(follower.run()) for follower in (service, *others)]
+        took = await _seconds_to_read(service, "job-0")
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         return took
 
-    assert asyncio.run(play()) < _SOON
+    assert asyncio.run(scenario()) < _MAX_READ_TIME
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Calls to the store that wait in vain.
+Calls to the store that are not answered.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
         return await super().read(stream, start, wait, largest, patience)
 
 
-class _Bed:
+class _WatchedStore:
     """
-    A watched log; ``old`` is a stream over a connection that has gone silent.
+    A watched log; calls to the stream ``old`` use a dead connection.
     """
 
     def __init__(self) -> None:
@@ -48,105 +48,105 @@
     def _reconnect(self) -> None:
         self.reconnects += 1
 
-    async def keep_asking(self, seconds: float) -> None:
+    async def keep_reading(self, seconds: float) -> None:
         """
-        Make calls over other connections, which are answered.
+        Read another stream, which is answered.
         """
         for _ in range(int(seconds / 0.05)):
             await self.log.read("new", 0, 0.05)
 
 
-async def _took(call) -> float:
+async def _duration(call) -> float:
     """
-    Return how long a call took, in seconds; it fails after five.
+    Return the duration of a call in seconds; it must end within 5 s.
     """
     clock = asyncio.get_running_loop().time
-    began = clock()
+    started_at = clock()
     async with asyncio.timeout(5.0):
         await call
-    return clock() - began
+    return clock() - started_at
 
 
 def test_a_silent_connection_is_noticed_while_others_answer():
     """
-    Half a second after its call was due, and new connections are used from then on.
+    Its call is cancelled soon after it was due, and new connections are used.
     """
 
-    async def play():
-        bed = _Bed()
-        asking = asyncio.create_task(bed.keep_asking(2.0))
+    async def scenario():
+        store = _WatchedStore()
+        reading = asyncio.create_task(store.keep_reading(2.0))
 
         async def read():
             with pytest.raises(StoreAwayError, match="silent"):
-                await bed.log.read("old", 0, wait=0.3)
+                await store.log.read("old", 0, wait=0.3)
 
-        assert 0.6 < await _took(read()) < 1.0
-        assert bed.reconnects == 1
-        asking.cancel()
+        assert 0.6 < await _duration(read()) < 1.0
+        assert store.reconnects == 1
+        reading.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_calls_wait_on_while_nothing_is_answered():
     """
-    The store may be slow, or away; their own time limits end them.
+    The store may be slow or unavailable; the calls' own timeouts end them.
     """
 
-    async def play():
-        bed = _Bed()
-        read = asyncio.create_task(bed.log.read("old", 0))
+    async def scenario():
+        store = _WatchedStore()
+        read = asyncio.create_task(store.log.read("old", 0))
         await asyncio.sleep(1.0)
         assert not read.done()
-        assert bed.reconnects == 0
+        assert store.reconnects == 0
         read.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_append_that_hangs_when_the_store_is_back_is_unknown():
     """
-    It may have been done; the first answer after the outage ends it.
+    It may have taken effect; the first answer after the outage ends the wait.
     """
 
-    async def play():
-        bed = _Bed()
-        append = asyncio.create_task(bed.log.append("old", [b"r"]))
+    async def scenario():
+        store = _WatchedStore()
+        append = asyncio.create_task(store.log.append("old", [b"r"]))
         await asyncio.sleep(0.6)
         assert not append.done()
-        assert isinstance(await bed.log.append("new", [b"r"]), Appended)
+        assert isinstance(await store.log.append("new", [b"r"]), Appended)
         assert isinstance(await append, UnknownAppend)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_whoever_expects_a_large_page_has_the_time_for_it():
     """
-    Small answers to others do not end its read.
+    Fast answers to other calls do not cancel its read.
     """
 
-    async def play():
-        bed = _Bed()
-        asking = asyncio.create_task(bed.keep_asking(1.2))
-        read = asyncio.create_task(bed.log.read("old", 0, patience=3.0))
-        await asking
+    async def scenario():
+        store = _WatchedStore()
+        reading = asyncio.create_task(store.keep_reading(1.2))
+        read = asyncio.create_task(store.log.read("old", 0, patience=3.0))
+        await reading
         assert not read.done()
         read.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_caller_that_is_cancelled_ends():
     """
-    Also in the moment in which its call is given up.
+    Also if its call is cancelled as overdue at the same time.
     """
 
-    async def play():
-        bed = _Bed()
-        read = asyncio.create_task(bed.log.read("old", 0))
+    async def scenario():
+        store = _WatchedStore()
+        read = asyncio.create_task(store.log.read("old", 0))
         await asyncio.sleep(0.6)
-        bed.watch.answered()
+        store.watch.record_answer()
         read.cancel()
         with pytest.raises(asyncio.CancelledError):
             await read
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_work_shares.py
+++ b/tests/test_work_shares.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Who runs a share of the work: takers, holders, planned stops, outages.
+Which node holds a work share: claims, renewals, planned stops and outages.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 class _Node:
     """
-    A node that wants one share.
+    A node that claims one share.
     """
 
     def __init__(self, log: FakeLog, machine: str, cores: float = 2.0) -> None:
         self.leases = LeaseLog(log, machine)
         self.shares = WorkShares(
-            self.leases, self._wanted, self._taken, self._changed, cores
+            self.leases, self._wanted, self._on_acquired, self._on_change, cores
         )
-        self.looks = 0
-        self.read_on = 0
-        self.reading = 0.0
+        self.checks = 0
+        self.acquisitions = 0
+        self.acquire_time = 0.0
         self.changes: list[bool] = []
 
     @property
@@ -35,16 +35,16 @@
         return self.shares.owns("pool")
 
     def _wanted(self) -> set[str]:
-        self.looks += 1
+        self.checks += 1
         return {"pool"}
 
-    async def _taken(self) -> None:
-        self.read_on += 1
-        await asyncio.sleep(self.reading)
-        # What the node before left must be known before anything is run.
+    async def _on_acquired(self) -> None:
+        self.acquisitions += 1
+        await asyncio.sleep(self.acquire_time)
+        # The share must not count as held before the previous holder's state is read.
         assert not self.owns
 
-    async def _changed(self) -> None:
+    async def _on_change(self) -> None:
         self.changes.append(self.owns)
 
     @asynccontextmanager
@@ -61,14 +61,14 @@
 
 async def _until(check, timeout: float = 3.0) -> float:
     """
-    Return how long a check took to become true, in seconds.
+    Wait until a check is true; return the duration in seconds.
     """
     clock = asyncio.get_running_loop().time
-    began = clock()
+    started_at = clock()
     async with asyncio.timeout(timeout):
         while not check():
             await asyncio.sleep(0.005)
-    return clock() - began
+    return clock() - started_at
 
 
 def _owners(*nodes: _Node) -> list[bool]:
@@ -77,10 +77,10 @@
 
 def test_one_of_several_nodes_takes_a_share_and_keeps_it():
     """
-    Others come and go meanwhile, and nothing moves.
+    Nodes that start and stop do not move it.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b, late = _Node(log, "a"), _Node(log, "b"), _Node(log, "late")
         async with a.running(), b.running():
@@ -90,17 +90,17 @@
             async with late.running():
                 await asyncio.sleep(1.5)
             assert _owners(a, b, late) == [*before, False]
-            assert a.read_on + b.read_on == 1
+            assert a.acquisitions + b.acquisitions == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_stopping_node_takes_no_share_again():
     """
-    Also if the one that took it dies.
+    Also if the node that took it crashes.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running():
@@ -111,15 +111,15 @@
             await asyncio.sleep(1.6)
             assert not a.owns
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_planned_stop_passes_a_share_on_at_once():
     """
-    Without the term that a death costs.
+    A released share is claimed before its term has passed.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running():
@@ -131,15 +131,15 @@
                 await asyncio.sleep(0.3)
                 assert _owners(a, b) == [False, True]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_dead_node_s_share_is_taken_after_its_term():
     """
-    Not before: a node that lives renews it in time.
+    Not before, since a running node renews it in time.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with AsyncExitStack() as rest:
@@ -150,15 +150,15 @@
                 assert _owners(a, b) == [True, False]
             assert 0.5 < await _until(lambda: b.owns) < 1.6
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_machine_that_comes_back_has_its_share_at_once():
     """
-    The loss of all machines costs no term.
+    A restarted machine claims its share before the term has passed.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         before, after, other = _Node(log, "a"), _Node(log, "a"), _Node(log, "b")
         async with before.running():
@@ -166,15 +166,15 @@
         async with after.running(), other.running():
             assert await _until(lambda: after.owns) < 0.5
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_share_stays_while_the_store_is_away_and_after():
     """
-    Nobody could renew, so nobody takes what its holder has before it has had its time.
+    Its holder has a full term after an outage to renew it.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with AsyncExitStack() as rest:
@@ -185,27 +185,27 @@
                 log.away = True
                 await asyncio.sleep(1.6)
                 assert _owners(a, b) == [True, False]
-            # The holder is slow to notice that the store is back.
+            # The holder notices the end of the outage late.
             log.away = False
             await asyncio.sleep(0.6)
             async with a.running():
                 await asyncio.sleep(1.0)
                 assert _owners(a, b) == [True, False]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_holder_that_was_replaced_lets_go():
     """
-    It reads so as soon as it reads the log again.
+    A paused holder notices it as soon as it reads the log again.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running():
             await _until(lambda: a.owns)
-        # Frozen: its loops stand still, and it still believes to hold the share.
+        # The first node is paused and still considers itself the holder.
         async with b.running():
             await _until(lambda: b.owns)
             assert a.owns
@@ -214,53 +214,52 @@
             assert a.changes[-1] is False
             assert b.owns
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_claim_whose_answer_was_lost_counts():
     """
-    Only the log tells whether it stands.
+    The log shows that it succeeded.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         log.lose = 1
         node = _Node(log, "a")
         async with node.running():
             await _until(lambda: node.owns)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_node_that_waits_does_not_look_all_the_time(monkeypatch):
     """
-    Also one that was about to claim what another took before it.
+    Also if another node claimed the share just before it.
     """
     delays = iter([0.0, 0.5, 0.5, 0.5])
     monkeypatch.setattr("random.uniform", lambda least, most: next(delays))
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running(), b.running():
             await _until(lambda: a.owns)
             await asyncio.sleep(0.6)
-            before = a.looks + b.looks
+            before = a.checks + b.checks
             await asyncio.sleep(1.0)
-            # Each 0.1 s, and for the news of three renewals.
-            assert a.looks + b.looks - before < 40
+            # One check each 0.1 s, and one for each renewal.
+            assert a.checks + b.checks - before < 40
             assert not b.owns
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_the_stronger_of_two_nodes_takes_a_share():
     """
-    It has the time for it, and is back sooner after a loss of all machines. Every time:
-    without the delay the chance of seven in a row is one in 128.
+    Repeated, since without the delay either node may be first by chance.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         weak, strong = _Node(log, "weak", 0.5), _Node(log, "strong", 4.0)
         async with weak.running(), strong.running():
@@ -268,15 +267,15 @@
             assert _owners(weak, strong) == [False, True]
 
     for _ in range(7):
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
 def test_nobody_claims_while_the_store_is_away():
     """
-    A claim that is under way as the store comes back would stand before the renewal.
+    A claim in flight at the end of an outage would precede the holder's renewal.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running(), AsyncExitStack() as rest:
@@ -289,22 +288,22 @@
             await asyncio.sleep(1.5)
             assert all(b"lease_claim" not in record for record in log.appends)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_lease_is_renewed_while_its_holder_reads_on():
     """
-    Reading the jobs may take longer than the term.
+    Reading the jobs may take longer than the term of the lease.
     """
 
-    async def play():
+    async def scenario():
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
-        a.reading = 1.8
+        a.acquire_time = 1.8
         async with a.running():
             await _until(lambda: a.leases.is_mine("share/pool"))
             async with b.running():
                 await _until(lambda: a.owns)
                 assert not b.leases.is_mine("share/pool")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
