--- a/packages/saddledoord/src/saddledoord/ports/__init__.py
+++ b/packages/saddledoord/src/saddledoord/ports/__init__.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-The outside world as the gateway sees it; adapters implement these interfaces.
+Interfaces of the gateway to its environment, which adapters implement.
 
-Every call has a deadline of its own and ends in one of three ways that never mix:
-done, not done, unknown.
+Every call has its own deadline and one of three distinct outcomes: done, not done or
+unknown.
 """
 
 from __future__ import annotations
--- a/packages/saddledoord/src/saddledoord/ports/duties.py
+++ b/packages/saddledoord/src/saddledoord/ports/duties.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The platform's own interface as the gateway sees it: calls of whoever has a duty.
+Interface of the platform for calls by the VM that has a duty.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 @dataclass(frozen=True)
 class UsageReport:
     """
-    Requests that engines began in a window of time.
+    The number of requests that engines started in a window of time.
 
-    :param counts: By workspace.
+    :param window: Number of the window.
+    :param counts: Number of requests by workspace.
     :param holder: Name of the VM that has the duty.
     :param fence: Fencing number of its lease.
     """
@@ -32,14 +33,14 @@
 
 class DutyOutcome:
     """
-    What became of a call, as far as the platform said.
+    The outcome of a call, as far as the platform reported it.
     """
 
     DONE = "done"
     FENCED = "fenced"
-    #: Not carried out, by the platform's word.
+    #: The platform reported that it did not carry the call out.
     REFUSED = "refused"
-    #: It may have been carried out, or may still be.
+    #: The call may have been carried out, or may still be.
     UNKNOWN = "unknown"
 
 
@@ -50,7 +51,7 @@
 
     async def report_usage(self, report: UsageReport) -> str:
         """
-        Report a window; an exact repeat is ignored.
+        Report a window; the platform ignores an exact repetition.
 
         :returns: One of `DutyOutcome`.
         """
--- a/packages/saddledoord/src/saddledoord/ports/engines.py
+++ b/packages/saddledoord/src/saddledoord/ports/engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Back ends as the gateway sees them: requests, generations, reports and orders.
+Interface of backend servers: requests, generations, reports and orders.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 @dataclass(frozen=True)
 class ForwardedRequest:
     """
-    A caller's request as it goes to a back end.
+    A caller's request as it is sent to a backend server.
 
     :param target: Path and query, as the caller wrote them.
-    :param headers: End-to-end headers only, without the deadline's.
-    :param request_id: The caller's name for this attempt of its own.
+    :param headers: End-to-end headers only, without the deadline header.
+    :param request_id: The caller's id of this attempt.
     :param repeatable: Whether it may run more than once.
-    :param workspace: Whose it is; empty for nobody's. None where there are no
-        workspaces; else no engine is shown the caller's key.
+    :param workspace: Workspace of the caller; empty for a caller without one. None if
+        workspaces are not configured. Otherwise engines do not get the caller's key.
     """
 
     method: str
@@ -52,9 +52,9 @@
 @dataclass(frozen=True)
 class EngineAnswer:
     """
-    A back end's whole answer.
+    The complete answer of a backend server.
 
-    :param mark: The back end's signature of the answer; empty without one.
+    :param mark: The server's signature of the answer; empty without one.
     """
 
     status: int
@@ -66,19 +66,19 @@
 @dataclass(frozen=True)
 class UnusableAnswer(OutcomeUnknown):
     """
-    The back end answered, but not with this request's own signed answer.
+    The backend server answered, but not with a signed answer to this request.
 
-    So it has not ended, and is done with the request as far as anyone can tell.
+    The server is alive, and is most likely finished with the request.
     """
 
 
 @dataclass(frozen=True)
 class Generation:
     """
-    An item of a job, to be run at an engine.
+    An item of a job that is run at an engine.
 
-    :param resume_after: Number of the last event already kept; 0 for none.
-    :param urgency: 0 is the most urgent, 9 the least.
+    :param resume_after: Number of the last event that is already stored; 0 for none.
+    :param urgency: From 0, the most urgent, to 9.
     """
 
     request: ForwardedRequest
@@ -88,28 +88,28 @@
 
 class GenerationFailedError(Exception):
     """
-    A generation ended before its end.
+    A generation ended early.
 
-    :param outcome: What it says of the item and of the engine.
+    :param outcome: One of the constants of this class.
     """
 
-    #: The engine vouches that it did not start.
+    #: The engine reported that it did not start the item.
     NOT_STARTED = "not_started"
-    #: There was no connection to the engine, so it has not run the item.
+    #: The engine could not be connected to, so it has not run the item.
     UNREACHED = "unreached"
     #: Another incarnation answers at the address.
     MOVED = "moved"
-    #: The engine failed on the item; counts as an attempt.
+    #: The engine failed on the item, which counts as an attempt.
     FAILED = "failed"
-    #: The item can never be done.
+    #: The item can never succeed.
     IMPOSSIBLE = "impossible"
-    #: Broken off, silent, or not understood.
+    #: The stream was interrupted, timed out or was invalid.
     BROKEN = "broken"
-    #: The whole engine is silent and another one has room.
+    #: No stream of the engine has events, and another engine has a free slot.
     STALLED = "stalled"
-    #: The engine has started again since; what it had is gone.
+    #: The engine has restarted, so the item was lost.
     RESTARTED = "restarted"
-    #: Another engine with room is much faster.
+    #: Another engine with a free slot is much faster.
     SLOW = "slow"
 
     def __init__(self, outcome: str, reason: str) -> None:
@@ -120,11 +120,13 @@
 @dataclass(frozen=True)
 class EngineState:
     """
-    What an engine reports when asked.
+    The state that an engine reports.
 
-    :param orders_taken: Counts the orders since its start.
-    :param started_at: Start of its process, in Unix milliseconds; none if it does not
-        say.
+    :param versions: Weight versions in use, by model.
+    :param busy: Whether an order is in progress.
+    :param orders_taken: Number of orders since its start.
+    :param started_at: Start of its process, in Unix milliseconds; None if it does not
+        report one.
     """
 
     versions: dict[str, int]
@@ -134,8 +136,8 @@
 
     def is_of(self, engine: EngineEntry) -> bool:
         """
-        Return whether the life that an entry speaks of has told this, as far as both
-        say when they began.
+        Return whether an entry is of the incarnation that reported this state; true if
+        either does not give the start of its process.
         """
         if self.started_at is None or engine.started_at is None:
             return True
@@ -145,11 +147,11 @@
 @dataclass(frozen=True)
 class VersionOrder:
     """
-    An absolute order: be at this version of this model.
+    An order to use a version of a model.
 
-    :param orders_taken: The count that the engine must still be at.
-    :param keep_runs: Whether running requests go on under the new version; they
-        finish first otherwise.
+    :param orders_taken: Number of orders that the engine must have taken before.
+    :param keep_runs: Whether running requests continue with the new version; otherwise
+        they finish first.
     """
 
     model: str
@@ -162,7 +164,7 @@
 
 class OrderOutcome:
     """
-    What became of an order, as far as the engine said.
+    The outcome of an order, as far as the engine reported it.
     """
 
     TAKEN = "taken"
@@ -175,40 +177,40 @@
 
 class Engines(Protocol):
     """
-    Calls to back ends.
+    Calls to backend servers.
     """
 
     async def call(
         self, engine: EngineEntry, request: ForwardedRequest, deadline: float
     ) -> EngineAnswer | NotRun | OutcomeUnknown:
         """
-        Hand a request over and take its whole answer.
+        Send a request and return its complete answer.
 
-        :param deadline: What is left of the caller's time, in seconds.
+        :param deadline: Time that is left to the caller, in seconds.
         """
 
     def generate(
         self, engine: EngineEntry, generation: Generation
     ) -> AsyncIterator[GeneratedEvent]:
         """
-        Stream a generation's events until its text is whole.
+        Stream the events of a generation until its text is complete.
 
-        :raises GenerationFailedError: If the text did not become whole.
+        :raises GenerationFailedError: If the text was not completed.
         """
 
     async def state(self, engine: EngineEntry) -> EngineState | None:
         """
-        Ask an engine what it holds; none without a usable answer.
+        Return the state of an engine; None without a usable answer.
         """
 
     async def is_gone(self, engine: EngineEntry) -> bool:
         """
-        Whether nobody serves at an engine's address; false if that is not certain.
+        Whether no process serves at an engine's address; false if that is not certain.
         """
 
     async def order(self, engine: EngineEntry, order: VersionOrder) -> str:
         """
-        Give an order.
+        Send an order.
 
         :returns: One of `OrderOutcome`.
         """
--- a/packages/saddledoord/src/saddledoord/ports/store.py
+++ b/packages/saddledoord/src/saddledoord/ports/store.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The platform's store as the gateway sees it: the log and registries.
+Interface of the platform's store: the log and registries.
 """
 
 from __future__ import annotations
@@ -32,10 +32,9 @@
 ]
 
 
-#: Most that one read brings unless the reader says otherwise, in bytes.
+#: Default limit of the size of a page, in bytes.
 LARGEST_PAGE = 1_048_576
-#: Longest wait for the answer to a read unless the reader says otherwise, in seconds: a
-#: store that is slowed down 60 times takes 0.24 s.
+#: Default limit of the wait for the answer to a read, in seconds.
 USUAL_PATIENCE = 1.0
 
 
@@ -47,9 +46,9 @@
 
 class LogGoneError(Exception):
     """
-    Records were dropped before they were read.
+    The log dropped records before they were read.
 
-    :param first: Oldest offset that is still there.
+    :param first: Offset of the oldest record that is left.
     """
 
     def __init__(self, first: int) -> None:
@@ -60,9 +59,9 @@
 @dataclass(frozen=True)
 class Appended:
     """
-    The records are in the log.
+    The log has the records.
 
-    :param offset: Offset of the first.
+    :param offset: Offset of the first record.
     """
 
     offset: int
@@ -71,7 +70,7 @@
 @dataclass(frozen=True)
 class NotAppended:
     """
-    The log vouches that it did not take the records.
+    The log reported that it did not append the records.
     """
 
     reason: str
@@ -80,7 +79,7 @@
 @dataclass(frozen=True)
 class UnknownAppend:
     """
-    The records may be in the log, or may still come into it.
+    The log may have appended the records, or may still append them.
     """
 
     reason: str
@@ -89,9 +88,10 @@
 @dataclass(frozen=True)
 class LogPage:
     """
-    Records from one offset on.
+    Consecutive records of a stream.
 
-    :param end: Offset after the log's newest record.
+    :param start: Offset of the first record.
+    :param end: Offset after the newest record of the stream.
     """
 
     start: int
@@ -101,7 +101,7 @@
     @property
     def next_offset(self) -> int:
         """
-        Where the next read begins.
+        Offset of the next read.
         """
         return self.start + len(self.records)
 
@@ -115,7 +115,7 @@
         self, stream: str, records: Sequence[bytes], patience: float = 1.5
     ) -> Appended | NotAppended | UnknownAppend:
         """
-        Append all the records in one piece, or none of them.
+        Append all records atomically.
 
         :param patience: Longest wait for the answer, in seconds.
         """
@@ -129,11 +129,11 @@
         patience: float = USUAL_PATIENCE,
     ) -> LogPage:
         """
-        Read records from an offset on.
+        Read records from an offset.
 
-        :param wait: How long the log may wait for one, in seconds.
+        :param wait: How long the log may wait for a record, in seconds.
         :param patience: Longest wait for the answer beyond that, in seconds.
-        :param largest: Most that the answer may hold, in bytes, but for one record.
+        :param largest: Largest size of the page, in bytes; one record may exceed it.
         :raises StoreAwayError: If there was no usable answer.
         :raises LogGoneError: If the records at the offset were dropped.
         """
@@ -142,12 +142,12 @@
 @dataclass(frozen=True)
 class Unusable:
     """
-    Something stands under a key, and it is nothing that may be used.
+    A value of a key that cannot be used.
 
-    Apart from a removal: a key that lapsed while the store was away may come back as it
-    was, but one that holds something else now has said so.
+    It differs from a removed key, which may return unchanged after an outage of the
+    store.
 
-    :param reason: Names the field.
+    :param reason: Names the field that is invalid.
     """
 
     reason: str
@@ -156,9 +156,9 @@
 @dataclass(frozen=True)
 class KeyedEntry:
     """
-    A change of one key, decoded.
+    A decoded change of one key.
 
-    :param value: None if the key was removed or says nothing here.
+    :param value: None if the key was removed or is not relevant.
     """
 
     key: str
@@ -169,10 +169,10 @@
 @dataclass(frozen=True)
 class KeyedPage:
     """
-    Changes of keys, in order.
+    Consecutive changes of keys.
 
     :param whole: Whether these are the newest values of all keys.
-    :param is_end: Whether there was nothing behind them.
+    :param is_end: Whether there are no later changes.
     """
 
     entries: tuple[KeyedEntry, ...]
@@ -183,7 +183,7 @@
 
 class Registry(Protocol):
     """
-    A table of keys that others write: the operator's, or the engines' entries.
+    A table of keys that others write: the operator's documents or the engines' entries.
     """
 
     async def newest(self) -> KeyedPage:
@@ -195,10 +195,11 @@
 
     async def changes(self, start: int, wait: float) -> KeyedPage:
         """
-        Read the changes from an offset on.
+        Read the changes from an offset.
 
         :raises StoreAwayError: If there was no usable answer.
-        :raises LogGoneError: If they were dropped; `newest` still has the values.
+        :raises LogGoneError: If the changes were dropped; `newest` still returns the
+            values.
         """
 
 
