--- a/packages/saddledoord/src/saddledoord/log/__init__.py
+++ b/packages/saddledoord/src/saddledoord/log/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-The product's own log service: client, followers, claims, leases.
+Client of the log service, with followers, key claims and leases.
 """
--- a/packages/saddledoord/src/saddledoord/log/claims.py
+++ b/packages/saddledoord/src/saddledoord/log/claims.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Claims of keys in the log: group commit, verdict by the fold, release.
+Claims keys in the log by group commit, and releases them.
 """
 
 from __future__ import annotations
@@ -26,96 +26,96 @@
 
 __all__ = ["ClaimLog"]
 
-#: How long claims are gathered for one append, in seconds.
+#: How long claims are collected for one append, in seconds.
 _GROUP_WINDOW = 0.002
-#: How long the log may wait for a record that it said it took, in seconds.
+#: How long a read waits at the log for a record that was appended, in seconds.
 _READ_WAIT = 0.5
-#: Wait between tries to release keys that were given up, in seconds.
-_RELEASE_RETRY = 1.0
-#: Releases that are kept for later while the log is away, a count.
-_MAX_RELEASES = 10_000
+#: Pause between attempts to append pending releases, in seconds.
+_RELEASE_RETRY_PAUSE = 1.0
+#: Largest number of releases that wait for the log.
+_MAX_PENDING_RELEASES = 10_000
 
 
 @dataclass
-class _Waiting:
+class _PendingClaim:
     claim: KeyClaim
     verdict: asyncio.Future
 
 
 class _Partition:
     """
-    One partition of the claim stream: its fold and the claims that wait for it.
+    One partition of the claim stream, with its fold and its pending claims.
     """
 
     def __init__(
-        self, stream: str, log: LogClient, remember: float, trace: Emit
+        self, stream: str, log: LogClient, retention: float, trace: Emit
     ) -> None:
         self._stream = stream
         self._trace = trace
         self._log = log
-        self._remember = remember
+        self._retention = retention
         self._fold: ClaimFold | None = None
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingClaim] = []
         self._task: asyncio.Task | None = None
 
     async def claim(self, claim: KeyClaim) -> KeyClaim | None:
         """
-        Return the claim that won the key, or none if the log could not be asked.
+        Return the claim that owns the key, or None if the log did not answer.
         """
-        waiting = _Waiting(claim, asyncio.get_running_loop().create_future())
-        self._waiting.append(waiting)
+        pending = _PendingClaim(claim, asyncio.get_running_loop().create_future())
+        self._pending.append(pending)
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._commit_all())
-        return await waiting.verdict
+        return await pending.verdict
 
     async def release(self, record: ClaimRelease) -> None:
         """
-        Free a key.
+        Release a key.
 
-        :raises LogAwayError: If it is not known whether the log took it.
+        :raises LogAwayError: If it is not known whether the log appended the record.
         """
         await self._log.append(self._stream, [record])
 
     async def _commit_all(self) -> None:
-        while self._waiting:
+        while self._pending:
             await asyncio.sleep(_GROUP_WINDOW)
-            batch, self._waiting = self._waiting, []
+            batch, self._pending = self._pending, []
             await self._commit(batch)
 
-    async def _commit(self, batch: list[_Waiting]) -> None:
-        claims = tuple(waiting.claim for waiting in batch)
+    async def _commit(self, batch: list[_PendingClaim]) -> None:
+        claims = tuple(pending.claim for pending in batch)
         try:
             offset = await self._log.append(self._stream, [ClaimBatch(claims)])
         except LogAwayError:
-            # It may stand in the log all the same: only reading on tells.
+            # The log may have appended it all the same, which only a read shows.
             offset = -1
         try:
             await self._catch_up(offset)
         except LogAwayError:
-            for waiting in batch:
-                _resolve(waiting, None)
+            for pending in batch:
+                _resolve(pending, None)
             return
-        for waiting in batch:
-            owner = self._fold.owner(waiting.claim.key)
+        for pending in batch:
+            owner = self._fold.owner(pending.claim.key)
             if owner is not None:
                 self._trace(ClaimDecided(self._stream, owner.key, owner.claim_id))
-            _resolve(waiting, owner)
+            _resolve(pending, owner)
 
     async def _catch_up(self, offset: int) -> None:
         wait = 0.0
         while True:
             start = self._fold.next_offset if self._fold else 0
             page = await self._log.read(self._stream, start, wait)
-            self._take(page)
+            self._apply_page(page)
             reached = self._fold.next_offset > offset
             if reached and (offset >= 0 or not page.records):
                 return
-            # A log whose reads lag behind its appends is not asked in a tight loop.
+            # Avoids a busy loop if reads of the log lag behind its appends.
             wait = 0.0 if page.records else _READ_WAIT
 
-    def _take(self, page: LogPage) -> None:
+    def _apply_page(self, page: LogPage) -> None:
         if self._fold is None or page.first > self._fold.next_offset:
-            self._fold = ClaimFold(self._remember, page.first)
+            self._fold = ClaimFold(self._retention, page.first)
         for entry in page.records:
             if entry.record is not None:
                 data = encode_record(entry.record)
@@ -125,14 +125,14 @@
             self._fold.apply(entry.offset, entry.at, entry.record)
 
 
-def _resolve(waiting: _Waiting, owner: KeyClaim | None) -> None:
-    if not waiting.verdict.done():
-        waiting.verdict.set_result(owner)
+def _resolve(pending: _PendingClaim, owner: KeyClaim | None) -> None:
+    if not pending.verdict.done():
+        pending.verdict.set_result(owner)
 
 
 class ClaimLog:
     """
-    All partitions, and the releases that wait for the log.
+    Claims keys in all partitions, and retries releases while the log is unavailable.
     """
 
     def __init__(self, log: LogClient, state: NodeState, metrics: Metrics) -> None:
@@ -140,14 +140,14 @@
         self._state = state
         self._metrics = metrics
         self._partitions: dict[int, _Partition] = {}
-        self._releases: dict[str, tuple[int, ClaimRelease]] = {}
+        self._pending_releases: dict[str, tuple[int, ClaimRelease]] = {}
 
     async def claim(self, partition: int, claim: KeyClaim) -> KeyClaim | None:
         """
-        Return who owns the key now, or none if the log could not be asked.
+        Return the claim that owns the key, or None if the log did not answer.
 
-        An undecided claim may still stand in the log. Only its owner, once it has
-        decided not to act on it, may release it: this node may be a mere writer.
+        In that case the claim may still take effect. Only its owner may release it,
+        since this node may have appended it for another node.
         """
         owner = await self._partition(partition).claim(claim)
         if owner is None:
@@ -159,14 +159,14 @@
 
     def release_later(self, partition: int, record: ClaimRelease) -> None:
         """
-        Free a key as soon as the log takes it.
+        Release a key as soon as the log is available.
         """
-        if len(self._releases) < _MAX_RELEASES:
-            self._releases[record.claim_id] = (partition, record)
+        if len(self._pending_releases) < _MAX_PENDING_RELEASES:
+            self._pending_releases[record.claim_id] = (partition, record)
 
     async def release(self, partition: int, record: ClaimRelease) -> None:
         """
-        Free a key now, or later if the log is away.
+        Release a key now, or later if the log is unavailable.
         """
         try:
             await self._partition(partition).release(record)
@@ -175,23 +175,23 @@
 
     async def run_releases(self) -> None:
         """
-        Free what was given up, until cancelled.
+        Append pending releases until cancelled.
         """
         while True:
-            await asyncio.sleep(_RELEASE_RETRY)
-            for claim_id, (partition, record) in list(self._releases.items()):
+            await asyncio.sleep(_RELEASE_RETRY_PAUSE)
+            for claim_id, (partition, record) in list(self._pending_releases.items()):
                 try:
                     await self._partition(partition).release(record)
                 except LogAwayError:
                     break
-                self._releases.pop(claim_id, None)
+                self._pending_releases.pop(claim_id, None)
 
     def _partition(self, number: int) -> _Partition:
         if number not in self._partitions:
             deployment = self._state.deployment
-            remember = deployment.limits.claim_remember_s
+            retention = deployment.limits.claim_remember_s
             stream = f"claims-{number}"
             self._partitions[number] = _Partition(
-                stream, self._log, remember, self._state.trace
+                stream, self._log, retention, self._state.trace
             )
         return self._partitions[number]
--- a/packages/saddledoord/src/saddledoord/log/client.py
+++ b/packages/saddledoord/src/saddledoord/log/client.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Adapter to the platform's append-only log service.
+HTTP client of the platform's append-only log service.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 class LogAwayError(Exception):
     """
-    The log gave no usable answer; an append may have taken effect all the same.
+    The log gave no usable answer; an append may still have taken effect.
     """
 
 
 @dataclass(frozen=True)
 class LoggedRecord:
     """
-    A record as the log holds it.
+    A record of a stream.
 
-    :param at: When the log took it, by the log's clock, in seconds.
+    :param at: When it was appended, by the log's clock, in seconds.
     :param record: None if it could not be decoded.
     """
 
@@ -43,10 +43,10 @@
 @dataclass(frozen=True)
 class LogPage:
     """
-    An answer to a read.
+    The answer to a read.
 
-    :param first: Oldest offset that the log still has.
-    :param next_offset: Where the next read begins.
+    :param first: Offset of the oldest record that is left.
+    :param next_offset: Offset of the next read.
     """
 
     first: int
@@ -56,7 +56,7 @@
 
 class LogClient:
     """
-    Appends to and reads from the log's streams over HTTP.
+    Appends to and reads from streams of the log.
 
     :param timeout: Longest wait for an answer beyond a read's own wait, in seconds.
     """
@@ -71,29 +71,30 @@
 
     async def append(self, stream: str, records: Sequence[Record]) -> int:
         """
-        Append records in one piece.
+        Append records atomically.
 
-        :returns: Offset of the first.
-        :raises LogAwayError: Also when the append may have taken effect.
+        :returns: Offset of the first record.
+        :raises LogAwayError: If there was no usable answer; the append may still have
+            taken effect.
         """
         body = {"records": [encode_record(record) for record in records]}
         self._metrics.log_appends.add(1, {"stream": stream.split("-")[0]})
-        answer = await self._ask("POST", stream, body=body, wait=0.0)
+        answer = await self._request("POST", stream, body=body, wait=0.0)
         return int(answer["first"])
 
     async def read(self, stream: str, start: int, wait: float = 0.0) -> LogPage:
         """
-        Read what stands at ``start`` and after it.
+        Read records from an offset.
 
-        :param wait: How long the log may wait for a record to come, in seconds.
+        :param wait: How long the log may wait for a record, in seconds.
         :raises LogAwayError: If the log gave no usable answer.
         """
         params = {"from": str(start), "wait": f"{wait:.2f}"}
-        answer = await self._ask("GET", stream, params=params, wait=wait)
+        answer = await self._request("GET", stream, params=params, wait=wait)
         records = tuple(self._decode(item) for item in answer["records"])
         return LogPage(int(answer["first"]), int(answer["next"]), records)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         stream: str,
--- a/packages/saddledoord/src/saddledoord/log/follower.py
+++ b/packages/saddledoord/src/saddledoord/log/follower.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Follows the log's streams and feeds the folds.
+Follows the streams of the log and folds their records.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 
 __all__ = ["CONFIG_STREAM", "CONTROL_STREAM", "StreamFollower", "follow_config"]
 
-#: Stream that operators publish to.
+#: The stream of configurations and verdicts on them.
 CONFIG_STREAM = "config"
-#: Stream of leases.
+#: The stream of lease records.
 CONTROL_STREAM = "control"
 
 _log = structlog.get_logger()
 
-#: Wait before the log is asked again after it was away, in seconds.
-_RETRY_WAIT = 0.3
-#: Wait per rank before a node judges a proposal that others should judge, in seconds.
-_VERDICT_STEP = 0.3
+#: Pause after a failed call to the log, in seconds.
+_RETRY_PAUSE = 0.3
+#: Delay per rank of a node before it appends a verdict on a proposal, in seconds.
+_VERDICT_DELAY = 0.3
 
 
 class StreamFollower:
     """
     Reads one stream in order, by long polls.
 
-    :param begin: Called with the oldest offset the log has before the first record,
-        and again if the log has dropped records that were not read yet.
-    :param apply: Called with each record and its offset.
+    :param begin: Called with the offset of the oldest record, before the first record
+        is applied and again if the log dropped records that were not read yet.
+    :param apply: Called with each offset and record.
     :param pause: Least time between long polls, in seconds.
     """
 
@@ -90,31 +90,31 @@
                 await asyncio.sleep(self._pause)
             except LogAwayError:
                 self._state.log.note(answered=False)
-                await asyncio.sleep(_RETRY_WAIT)
+                await asyncio.sleep(_RETRY_PAUSE)
 
     async def poll(self, wait: float) -> None:
         """
-        Read once and fold what came.
+        Read once and apply the records.
 
         :raises LogAwayError: If the log gave no answer.
         """
         page = await self._log.read(self._stream, max(self._next, 0), wait)
-        self._take(page)
+        self._apply_page(page)
 
     async def catch_up(self) -> None:
         """
-        Read everything that the log has now.
+        Read all records of the stream.
 
         :raises LogAwayError: If the log gave no answer.
         """
-        before = -2
-        while self._next != before:
-            before = self._next
+        previous = -2
+        while self._next != previous:
+            previous = self._next
             await self.poll(0.0)
 
-    def _take(self, page: LogPage) -> None:
-        # Two polls may be under way at once (the long one and a catch-up): an older
-        # page's records were folded already and are passed over.
+    def _apply_page(self, page: LogPage) -> None:
+        # A long poll and a catch-up may run concurrently: records that were applied
+        # already are skipped.
         if page.first > self._next:
             self._begin(page.first)
             self._next = max(self._next, page.first)
@@ -129,7 +129,7 @@
     log: LogClient, state: NodeState, spawn: Callable[..., object]
 ) -> tuple[StreamFollower, StreamFollower]:
     """
-    Return followers of the configuration and the lease stream.
+    Return the followers of the configuration stream and the lease stream.
 
     :param spawn: Runs a coroutine in the background.
     """
@@ -146,7 +146,7 @@
         state.config_fold = state.config_fold.apply(offset, record)
         state.offer_config(state.config_fold.accepted)
         if offset in state.config_fold.pending:
-            spawn(_judge(log, state, offset))
+            spawn(_append_verdict(log, state, offset))
 
     def begin_leases(first: int) -> None:
         state.lease_fold = LeaseFold(next_offset=first, leases=state.lease_fold.leases)
@@ -170,18 +170,18 @@
     )
 
 
-async def _judge(log: LogClient, state: NodeState, offset: int) -> None:
+async def _append_verdict(log: LogClient, state: NodeState, offset: int) -> None:
     """
-    Append a verdict, unless a node that ranks before this one has done so.
+    Append a verdict, unless a node of a higher rank has appended one.
     """
-    await asyncio.sleep(_verdict_rank(state, offset) * _VERDICT_STEP)
+    await asyncio.sleep(_verdict_rank(state, offset) * _VERDICT_DELAY)
     while offset in state.config_fold.pending:
         verdict = _verdict(state, offset)
         try:
             await log.append(CONFIG_STREAM, [verdict])
             return
         except LogAwayError:
-            await asyncio.sleep(_RETRY_WAIT)
+            await asyncio.sleep(_RETRY_PAUSE)
 
 
 def _verdict_rank(state: NodeState, offset: int) -> int:
@@ -209,6 +209,6 @@
 
 def new_record_id() -> str:
     """
-    Return a name for a record, unique across processes.
+    Return a unique id for a record.
     """
     return uuid.uuid4().hex
--- a/packages/saddledoord/src/saddledoord/log/leases.py
+++ b/packages/saddledoord/src/saddledoord/log/leases.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Takes, renews and releases this VM's leases in the log.
+Claims, renews and releases this VM's leases in the log.
 """
 
 from __future__ import annotations
@@ -22,16 +22,15 @@
 
 _log = structlog.get_logger()
 
-#: Renewals per term, a count.
+#: Renewals per term.
 _RENEWALS = 3
-#: How often the log is read while a released lease waits for its next holder, in
-#: seconds.
-_TAKEN_POLL = 0.05
+#: How often the log is read while a released lease has no new holder, in seconds.
+_TAKEOVER_POLL = 0.05
 
 
 class LeaseKeeper:
     """
-    The leases that this process holds, with their deadlines.
+    Manages the leases that this process holds.
     """
 
     def __init__(
@@ -48,9 +47,9 @@
 
     def held(self, name: str) -> HeldLease | None:
         """
-        Return the lease if the log's order still gives it to this process.
+        Return a lease if this process holds it, as far as the log has been read.
 
-        Whether it may be *acted on* now is for `HeldLease.may_act`.
+        `HeldLease.may_act` tells whether the process may act on it.
         """
         held = self._held.get(name)
         if held is None:
@@ -64,7 +63,7 @@
 
     def holder_address(self, name: str) -> str | None:
         """
-        Return the peer address of another holder, or none if the lease is free.
+        Return the peer address of a lease's holder, or None if the lease is free.
         """
         lease = self._state.lease_fold.get(name)
         if lease is None or lease.released:
@@ -73,14 +72,14 @@
 
     def may_take(self, name: str) -> bool:
         """
-        Tell whether the lease is free, or its holder silent for longer than its term.
+        Return whether a lease is free or has expired.
         """
         lease = self._state.lease_fold.get(name)
         return self._state.watch(name).may_take(lease, boot_time())
 
     async def take(self, name: str) -> HeldLease | None:
         """
-        Try to take a lease; the log's order decides.
+        Try to claim a lease; return it if this process holds it.
         """
         lock = self._claiming.setdefault(name, asyncio.Lock())
         async with lock:
@@ -91,7 +90,7 @@
 
     async def refresh(self) -> None:
         """
-        Read what the log has now; the follower alone lags by its pause.
+        Read the log now, since the follower lags by its pause.
         """
         try:
             await self._follower.catch_up()
@@ -100,7 +99,10 @@
 
     async def until_taken(self, names: list[str], timeout: float) -> bool:
         """
-        Wait until others hold leases that this process released.
+        Wait until other processes hold leases that this one released.
+
+        :param timeout: Longest wait, in seconds.
+        :returns: Whether all of them are held.
         """
         deadline = boot_time() + timeout
         while boot_time() < deadline:
@@ -108,20 +110,20 @@
             leases = [self._state.lease_fold.get(name) for name in names]
             if all(lease and not lease.released for lease in leases):
                 return True
-            await asyncio.sleep(_TAKEN_POLL)
+            await asyncio.sleep(_TAKEOVER_POLL)
         return False
 
     async def _claim(self, name: str) -> HeldLease | None:
         lease = self._state.lease_fold.get(name)
         seen = lease.last if lease else -1
         claim = LeaseClaim(new_record_id(), name, self._state.owner, seen)
-        before = boot_time()
+        started_at = boot_time()
         try:
             await self._log.append(CONTROL_STREAM, [claim])
         except LogAwayError:
             pass
         try:
-            # Also after a lost answer: only the log tells whether the claim stands.
+            # Also after a failed append, since only the log shows whether it succeeded.
             await self._follower.catch_up()
         except LogAwayError:
             return None
@@ -129,13 +131,13 @@
         if lease is None or lease.claim_id != claim.record_id:
             return None
         term = self._state.settings.timings.lease_term
-        self._held[name] = HeldLease(name, lease.fence, before + term)
+        self._held[name] = HeldLease(name, lease.fence, started_at + term)
         _log.info("lease_taken", lease=name, fence=lease.fence)
         return self._held[name]
 
     async def run(self) -> None:
         """
-        Renew what is held, until cancelled.
+        Renew the leases until cancelled.
         """
         term = self._state.settings.timings.lease_term
         while True:
@@ -144,12 +146,12 @@
 
     async def renew(self) -> None:
         """
-        Renew every lease held, in one append.
+        Renew all leases in one append.
         """
         held = [lease for name in self.names() if (lease := self.held(name))]
         if not held:
             return
-        before = boot_time()
+        started_at = boot_time()
         records = [LeaseRenewal(lease.name, lease.fence) for lease in held]
         try:
             offset = await self._log.append(CONTROL_STREAM, records)
@@ -159,18 +161,18 @@
         term = self._state.settings.timings.lease_term
         for index, lease in enumerate(held):
             current = self._state.lease_fold.get(lease.name)
-            # The renewal counts only if the fold took it.
+            # A renewal counts only if the fold accepted it.
             if (
                 current
                 and current.fence == lease.fence
                 and current.last >= offset + index
             ):
-                renewed = HeldLease(lease.name, lease.fence, before + term)
+                renewed = HeldLease(lease.name, lease.fence, started_at + term)
                 self._held[lease.name] = renewed
 
     async def release(self, name: str) -> None:
         """
-        Give a lease up; if the log is away it lapses by itself.
+        Release a lease; it expires by itself if the log is unavailable.
         """
         held = self._held.pop(name, None)
         if held is None:
