--- a/packages/saddledoord/src/saddledoord/__init__.py
+++ b/packages/saddledoord/src/saddledoord/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-The saddledoor daemon: adapters and the event loop around the library's decisions.
+The saddledoor daemon: network, log and event loop around the saddledoor library.
 """
--- a/packages/saddledoord/src/saddledoord/_cli.py
+++ b/packages/saddledoord/src/saddledoord/_cli.py
@@ -22,7 +22,7 @@
 
 __all__ = ["main"]
 
-#: Exit status for settings that cannot be used.
+#: Exit status for invalid settings.
 EXIT_USAGE = 2
 
 
@@ -60,7 +60,7 @@
 
 
 def _set_up_logging(settings: Settings) -> None:
-    # The libraries' own lines are about requests, not changes of state.
+    # Log lines of libraries concern single requests.
     logging.basicConfig(level=logging.CRITICAL)
     renderer = (
         structlog.processors.JSONRenderer()
--- a/packages/saddledoord/src/saddledoord/_clock.py
+++ b/packages/saddledoord/src/saddledoord/_clock.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The daemon's clock, which goes on while a VM is suspended, and a loop that goes by it.
+The daemon's clock, which includes suspension of the VM, and an event loop based on it.
 """
 
 from __future__ import annotations
@@ -19,31 +19,30 @@
 
 def boot_time() -> float:
     """
-    Return monotonic seconds since the machine's start, suspension included.
+    Return monotonic seconds since the machine's start, including suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BootTimeLoop(asyncio.SelectorEventLoop):
     """
-    An event loop whose timers count suspension, as all deadlines here do.
+    An event loop whose timers include suspension.
 
-    By the usual loop's clock what was to end 1 s after a VM was suspended would end 1 s
-    after it goes on. The system's own wait does not count suspension either, so a timer
-    that is due fires at the first event after it, at the latest when the heartbeat of
-    `Standstills` comes.
+    The clock of the default loop stops during a suspension, so its timers would fire
+    late. The timeout of the selector stops, too: a timer that became due fires at the
+    first event after the suspension, at the latest at the heartbeat of `Standstills`.
     """
 
     def time(self) -> float:
         """
-        Return the time of `boot_time`.
+        Return `boot_time()`.
         """
         return boot_time()
 
 
 def run_by_boot_time(main: Coroutine[object, object, _T]) -> _T:
     """
-    Run a program's main coroutine to its end, as `asyncio.run` does.
+    Run a program's main coroutine, like `asyncio.run`, on a `BootTimeLoop`.
     """
     with asyncio.Runner(loop_factory=BootTimeLoop) as runner:
         return runner.run(main)
--- a/packages/saddledoord/src/saddledoord/_daemon.py
+++ b/packages/saddledoord/src/saddledoord/_daemon.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Puts a daemon together, runs it, and stops it as planned.
+Builds and runs a daemon, and drains it at a stop.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 _log = structlog.get_logger()
 
-#: An idle caller's connection is closed after so long, in seconds.
+#: Idle time after which a caller's connection is closed, in seconds.
 _KEEP_ALIVE = 30
-#: How often a stopping VM looks whether it may go on, in seconds.
-_DRAIN_STEP = 0.02
-#: How long a successor may take to take a collector's lease, in seconds.
+#: How often a draining VM checks whether it may proceed, in seconds.
+_DRAIN_POLL_INTERVAL = 0.02
+#: Longest wait for a successor to claim the leases of collectors, in seconds.
 _TAKEOVER_WAIT = 3.0
-#: How long peers' calls may take when this VM ends, in seconds.
+#: Longest wait for calls of peers at a stop, in seconds.
 _PEER_GRACE = 1.0
 
 
@@ -48,14 +48,14 @@
         self._settings = settings
         self._state = NodeState.from_settings(settings)
         self._tasks: set[asyncio.Task] = set()
-        self._told = asyncio.Event()
-        self._told_again = asyncio.Event()
+        self._stop_requested = asyncio.Event()
+        self._second_stop_requested = asyncio.Event()
 
     async def run(self) -> None:
         """
         Serve until a signal stops it.
 
-        :raises OSError: If an address cannot be had.
+        :raises OSError: If an address cannot be bound.
         """
         self._handle_signals()
         self._state.trace(NodeBegan())
@@ -70,34 +70,34 @@
         _log.info("started", vm=settings.vm, http=settings.http, grpc=settings.grpc)
         for loop in parts.loops():
             self._spawn(loop)
-        await self._told.wait()
-        in_order = await self._drain_unless_told_again(parts)
-        http.end(force=not in_order)
+        await self._stop_requested.wait()
+        is_drained = await self._drain_unless_interrupted(parts)
+        http.end(force=not is_drained)
         await parts.burn.write(final=True)
         await serving
-        await peer_server.stop(_PEER_GRACE if in_order else 0)
-        await self._end_loops()
+        await peer_server.stop(_PEER_GRACE if is_drained else 0)
+        await self._cancel_loops()
         await parts.close()
         _log.info("stopped")
 
-    async def _drain_unless_told_again(self, parts: Parts) -> bool:
+    async def _drain_unless_interrupted(self, parts: Parts) -> bool:
         """
-        Drain; false if a second signal ended the VM before.
+        Drain; return false if a second signal interrupted it.
         """
         drained = asyncio.create_task(self._drain(parts))
-        second = asyncio.create_task(self._told_again.wait())
+        second = asyncio.create_task(self._second_stop_requested.wait())
         await asyncio.wait({drained, second}, return_when=asyncio.FIRST_COMPLETED)
         second.cancel()
-        in_order = drained.done()
-        if not in_order:
+        is_drained = drained.done()
+        if not is_drained:
             drained.cancel()
             in_flight = parts.in_flight.count
             _log.warning("stopped_by_second_signal", in_flight=in_flight)
         self._state.drain.stopped = True
         self._state.trace(StageChanged(self._state.stage))
-        return in_order
+        return is_drained
 
-    async def _end_loops(self) -> None:
+    async def _cancel_loops(self) -> None:
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -106,31 +106,31 @@
     def _spawn(self, work: Coroutine) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # A loop that died would leave the VM half alive: end it, its peers go on.
+        # A VM without one of its loops is stopped; other VMs take over.
         _log.error("task_failed", exc_info=task.exception())
         self._state.drain.tell(boot_time())
-        self._told.set()
+        self._stop_requested.set()
 
     def _handle_signals(self) -> None:
-        def signalled() -> None:
+        def on_signal() -> None:
             self._state.drain.tell(boot_time())
             if self._state.drain.told_again:
-                self._told_again.set()
-            self._told.set()
+                self._second_stop_requested.set()
+            self._stop_requested.set()
 
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, signalled)
+            loop.add_signal_handler(number, on_signal)
 
     async def _drain(self, parts: Parts) -> None:
         """
-        The planned stop: unready at once, then finish or hand over everything.
+        Finish the requests in flight, and hand over samples and leases.
         """
         drain = self._state.drain
         self._state.trace(StageChanged(self._state.stage))
@@ -141,24 +141,24 @@
             if not name.startswith(collector_lease("")):
                 await keeper.release(name)
         try:
-            # Fetches are still served meanwhile, so trainers take what is finished.
+            # Fetches are still served, so trainers can fetch finished samples.
             async with asyncio.timeout(drain.limit):
                 await collectors.finish_running()
         except TimeoutError:
             _log.warning("samples_given_up")
         while not drain.may_hand_over(boot_time(), in_flight.count):
-            await asyncio.sleep(_DRAIN_STEP)
+            await asyncio.sleep(_DRAIN_POLL_INTERVAL)
         handed_over = await collectors.hand_over(self._successor())
         for name in keeper.names():
             await keeper.release(name)
-        # Whoever submits meanwhile must find the successor, which has the samples.
+        # Submissions must be sent to the successor, which has the samples.
         await keeper.until_taken(handed_over, _TAKEOVER_WAIT)
         drain.handed_over = True
-        # Whoever came meanwhile gets its answer too.
-        looks = Looks()
-        await asyncio.sleep(_DRAIN_STEP)
-        while not (looks.is_on_time() and drain.may_stop(boot_time(), in_flight.count)):
-            await asyncio.sleep(_DRAIN_STEP)
+        # Requests that arrived meanwhile are answered, too.
+        polls = Looks()
+        await asyncio.sleep(_DRAIN_POLL_INTERVAL)
+        while not (polls.is_on_time() and drain.may_stop(boot_time(), in_flight.count)):
+            await asyncio.sleep(_DRAIN_POLL_INTERVAL)
 
     def _successor(self) -> str | None:
         own = self._settings.vm
--- a/packages/saddledoord/src/saddledoord/_parts.py
+++ b/packages/saddledoord/src/saddledoord/_parts.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The parts of a daemon, and how they are put together.
+The parts of a daemon and their construction.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 @dataclass(frozen=True)
 class Parts:
     """
-    What the daemon starts, runs and stops.
+    The parts that a daemon runs and closes.
     """
 
     backends: Backends
@@ -62,7 +62,7 @@
 
     def loops(self) -> list[Coroutine]:
         """
-        Return what runs until the VM stops.
+        Return the coroutines that run until the VM stops.
         """
         return [
             *(follower.run() for follower in self.followers),
@@ -79,7 +79,7 @@
 
     async def close(self) -> None:
         """
-        Close connections.
+        Close the connections to peers and backend servers.
         """
         await self.peers.close()
         await self.backends.close()
@@ -89,7 +89,7 @@
     settings: Settings, state: NodeState, spawn: Callable[[Coroutine], None]
 ) -> Parts:
     """
-    Put the parts together; needs a running loop, starts nothing.
+    Build the parts; needs a running event loop, but starts none of them.
 
     :param spawn: Runs a coroutine in the background.
     """
--- a/packages/saddledoord/src/saddledoord/_pipeline.py
+++ b/packages/saddledoord/src/saddledoord/_pipeline.py
@@ -1,13 +1,12 @@
 # SPDX-License-Identifier: MIT
 
 """
-The request's path: a chain of filters, each in a module of its own.
+Processes requests by a chain of filters, each of which is a module.
 
     decode -> identify -> classify -> admit -> claim (unrepeatable only) -> route
            -> attempt -> collect the whole answer -> label -> encode
 
-Admission and routing are the dispatcher's, inside the attempt; encoding is the HTTP
-layer's.
+The dispatcher admits and routes each attempt; the HTTP layer encodes the answer.
 """
 
 from __future__ import annotations
@@ -52,9 +51,10 @@
 @dataclass(frozen=True)
 class ServiceRequest:
     """
-    A call to a plain service, as it came in.
+    A call to a plain service, as received.
 
     :param target: Path and query within the service.
+    :param key: Idempotency key; empty without one.
     """
 
     service: str
@@ -68,7 +68,7 @@
 
 class Pipeline:
     """
-    What the filters share on one VM.
+    Runs requests through the filters of one VM.
     """
 
     def __init__(
@@ -94,13 +94,13 @@
 
     def identify(self, authorization: str | None) -> Caller | NotRun:
         """
-        Find out who sent a request.
+        Identify the caller of a request.
         """
         return identify(self._state.deployment, authorization)
 
     def decode_completion(self, body: bytes) -> CompletionBody | NotRun:
         """
-        Read a completions call's body.
+        Decode the body of a completion request.
         """
         return decode_completion(body)
 
@@ -108,7 +108,7 @@
         self, caller: Caller, body: CompletionBody
     ) -> AsyncIterator[Part | NotRun | OutcomeUnknown] | NotRun:
         """
-        Return the parts of a completion, or why there will be none.
+        Return the parts of a completion, or the reason of a refusal.
         """
         job = self._classify_completion(caller, body)
         if isinstance(job, NotRun):
@@ -122,7 +122,7 @@
         self, caller: Caller, request: ServiceRequest
     ) -> CallAnswer | NotRun | OutcomeUnknown:
         """
-        Pass a call through to a plain service.
+        Forward a call to a plain service.
         """
         job = self._classify_call(caller, request)
         if isinstance(job, NotRun):
@@ -151,7 +151,7 @@
 
     def issue_key(self, caller: Caller) -> str:
         """
-        Return a key that this VM's memory decides, for use also with the log away.
+        Return an idempotency key that needs no log, since this VM tracks its use.
         """
         return self._issued.issue(uuid.uuid4().hex, caller.name)
 
@@ -159,7 +159,7 @@
         self, work: pb.ServiceWork
     ) -> CallAnswer | NotRun | OutcomeUnknown | None:
         """
-        Run a call under a key that this VM issued, for a peer or for itself.
+        Run a call with a key that this VM issued, for a peer or for itself.
         """
         ledger_name = f"{work.partner}/{work.service}/{work.key}"
         if not self._issued.take(work.key, work.partner):
@@ -249,12 +249,11 @@
         try:
             return await self._peers.call(address, work, work.timeout_s + 1) or spent
         except PeerAwayError as error:
-            # Asking again with the same key is safe: the decider's memory judges it.
+            # Retrying with the same key is safe: its issuer tracks whether it was used.
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, str(error))
 
     def _known_peer(self, decider: str) -> str | None:
-        # The key came from a caller: never connect to an address just because it
-        # stands in there.
+        # The key came from a caller, so its address must be one of a known peer.
         try:
             address = bytes.fromhex(decider).decode().partition("@")[2]
         except ValueError:
--- a/packages/saddledoord/src/saddledoord/_settings.py
+++ b/packages/saddledoord/src/saddledoord/_settings.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The daemon's own settings: addresses, data centre, platform services and timings.
+Settings of the daemon: addresses, data centre, platform services and timings.
 """
 
 from __future__ import annotations
@@ -35,17 +35,19 @@
 
     :param lease_term: Term of every lease; longer than ``order_timeout`` and a
         renewal together.
-    :param order_timeout: Longest time an order to an engine may take.
-    :param exchange: Pause between pulls from a peer of the own data centre.
+    :param order_timeout: Longest time of an order to an engine.
+    :param exchange: Pause between pulls from a peer of the same data centre.
     :param summary: Pause between pulls from other data centres.
-    :param watch: Pause between readings of a back end.
-    :param member_expiry: A VM that is not heard of for so long is dead.
-    :param vm_list: Pause between readings of the platform's list of VMs, once others
-        are known; it names every VM, so reading it often would cost more than the rest.
-    :param control_pause: Least time between readings of the lease stream: many holders
-        renew there, and a reading each would cost more than what they say.
+    :param watch: Pause between reports that are requested from a backend server.
+    :param member_expiry: Time without news after which a VM counts as dead.
+    :param vm_list: Pause between reads of the platform's list of VMs once other VMs are
+        known.
+    :param control_pause: Least time between reads of the lease stream, in which many
+        renewals are collected.
     :param burn: Pause between this VM's records for the burn report.
-    :param lame_duck: How long a stopping VM goes on taking what is still sent to it.
+    :param log_timeout: Longest wait for an answer of the log beyond a read's own wait.
+    :param log_wait: How long a read of the log waits for new records.
+    :param lame_duck: How long a stopping VM still accepts requests.
     :param drain: Longest wait for requests in flight after that.
     """
 
@@ -67,14 +69,15 @@
 @_checked
 class Settings:
     """
-    One daemon's settings file.
-
-    :param http: Where callers and operators are served.
-    :param grpc: Where other daemons are served.
-    :param grpc_outside: How daemons of other data centres reach it, if not there.
-    :param trace: File to record a trace in; a VM keeps nothing, so this is for
-        finding faults and for tests.
-    :param peer_secret: What daemons of one deployment prove to each other.
+    The settings file of one daemon.
+
+    :param http: Address for callers and operators.
+    :param grpc: Address for other daemons.
+    :param grpc_outside: Address for daemons of other data centres; None if it is the
+        same.
+    :param trace: File to record a trace in, for debugging and tests.
+    :param peer_secret: Shared secret by which daemons of a deployment authenticate each
+        other.
     """
 
     vm: Name
@@ -94,7 +97,7 @@
     @property
     def grpc_from_afar(self) -> str:
         """
-        The peer address for other data centres.
+        Peer address for daemons of other data centres.
         """
         return self.grpc_outside or self.grpc
 
@@ -110,9 +113,10 @@
 
 def load_settings(path: Path) -> Settings:
     """
-    Read and check a settings file as a whole.
+    Read and validate a settings file.
 
-    :raises InvalidDocumentError: With file, line, finding and allowance.
+    :raises InvalidDocumentError: Names the file, the line, what was found and what is
+        allowed.
     """
     try:
         data = path.read_bytes()
--- a/packages/saddledoord/src/saddledoord/_state.py
+++ b/packages/saddledoord/src/saddledoord/_state.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What one daemon holds in memory: configuration in force, folds and members.
+The state of one daemon in memory: active configuration, folds and members.
 """
 
 from __future__ import annotations
@@ -43,14 +43,17 @@
 @dataclass
 class LogHealth:
     """
-    Whether the log answers, as the newest call saw it.
+    Whether the log answered the newest call.
+
+    :param away_since: Start of the current outage, monotonic, in seconds; None if there
+        is none.
     """
 
     away_since: float | None = None
 
     def note(self, answered: bool) -> None:
         """
-        Take the outcome of a call; a change of state is logged once.
+        Record whether a call was answered, and log each change.
         """
         if answered and self.away_since is not None:
             seconds = round(boot_time() - self.away_since, 1)
@@ -64,10 +67,10 @@
 @dataclass
 class NodeState:
     """
-    The daemon's memory; folds are replaced, never changed in place.
+    The state of a daemon; folds are replaced, not changed in place.
 
     :param incarnation: Unique name of this process.
-    :param started: When it began, in milliseconds since 1970.
+    :param started: Start of the process, in Unix milliseconds.
     """
 
     settings: Settings
@@ -99,7 +102,7 @@
     @property
     def owner(self) -> str:
         """
-        How this process names itself in records: incarnation and peer address.
+        Name of this process in records: incarnation and peer address.
         """
         return f"{self.incarnation}@{self.settings.grpc_from_afar}"
 
@@ -115,7 +118,7 @@
 
     def offer_config(self, accepted: Accepted | None) -> None:
         """
-        Put an accepted configuration in force if it is newer and usable.
+        Activate an accepted configuration if it is newer and usable.
         """
         if accepted is None or accepted.offset <= self.in_force.offset:
             return
@@ -134,7 +137,7 @@
 
     def note_leaving(self) -> None:
         """
-        Trace back ends that are marked as leaving, once each.
+        Trace backend servers that are marked as leaving, once each.
         """
         leaving = {r.name for r in self.members.reports().values() if r.leaving}
         for pool in self.deployment.pools if self.deployment else ():
@@ -154,14 +157,14 @@
 
     def watch(self, lease: str) -> LeaseWatch:
         """
-        Return this node's own clock on a lease.
+        Return this node's `LeaseWatch` of a lease.
         """
         term = self.settings.timings.lease_term
         return self._watches.setdefault(lease, LeaseWatch(term))
 
     def observe_leases(self) -> None:
         """
-        Start the clocks of leases whose renewal was just read.
+        Observe all leases after new records.
         """
         now = boot_time()
         for name, lease in self.lease_fold.leases.items():
@@ -169,13 +172,13 @@
 
     def live_members(self) -> list[MemberEntry]:
         """
-        Return the VMs of the own data centre that are heard of, this one included.
+        Return the live VMs of this data centre, including this one.
         """
         return self.members.live(boot_time())
 
     def live_vms(self) -> list[str]:
         """
-        Return their names, for choices that every node should make alike.
+        Return the names of the serving VMs of this data centre, sorted.
         """
         names = {m.vm for m in self.live_members() if m.state == "serving"}
         if self.stage == "serving":
@@ -184,7 +187,9 @@
 
     def pool_of_model(self, model: str) -> Pool | None:
         """
-        Return the pool that serves a model, named plainly or as ``pool/model``.
+        Return the pool that serves a model.
+
+        :param model: Name of the model, or ``pool/model``.
         """
         if self.deployment is None:
             return None
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Puts the gateway together: pass-through, batch jobs and orders over one shared log.
+Builds the gateway: pass-through, batch jobs and weight orders over one shared log.
 """
 
 from __future__ import annotations
@@ -54,36 +54,35 @@
 
 _log = structlog.get_logger()
 
-#: Silence of the store after which a node asks for no more callers, in seconds: it can
-#: take no job and has to send its readers away. In calm times a heartbeat is answered
-#: each 0.2 s; a store that is slowed down 60 times adds 0.24 s.
-_ALONE = 0.8
-#: How long a share that was lost waits for the last events of its items to reach the
-#: log, in seconds; a calm store takes 0.04 s.
-_HAND_OVER_LIMIT = 0.3
-#: Pause before a stopping node tries the store again, in seconds.
-_RETRY = 0.1
-#: How long a stopping node gives its last records to reach the log, in seconds.
-_FLUSH_LIMIT = 1.5
+#: Time without an answer of the store after which a node is not ready, in seconds: it
+#: can then accept no job.
+_MAX_STORE_SILENCE = 0.8
+#: Longest wait for the records of a share that was lost to be appended, in seconds.
+_HAND_OVER_TIMEOUT = 0.3
+#: Pause before a stopping node retries a read of the store, in seconds.
+_RETRY_PAUSE = 0.1
+#: Longest wait of a stopping node for its last records to be appended, in seconds.
+_FLUSH_TIMEOUT = 1.5
 
 
 @dataclass(frozen=True)
 class GatewaySettings:
     """
-    What a node knows before it reads anything.
+    Settings of a node.
 
     :param vm: Name of the VM.
-    :param address: Its IP address; a VM that takes another's place has another one.
-    :param cores: Processor time that it has, as a share of one core's.
-    :param lease_term: Of the lease for orders, in seconds.
+    :param address: IP address of the VM; a VM that replaces another one has a different
+        address.
+    :param cores: Processor time of the VM, in cores.
+    :param lease_term: Term of the lease for orders, in seconds.
     :param largest_record: Largest record of the log, in bytes.
     :param largest_append: Largest append to the log, in bytes.
-    :param cancel_time: After this long no item of an ended job may reach an engine, in
-        seconds.
+    :param cancel_time: Time after the end of a job from which none of its items may be
+        sent to an engine, in seconds.
     :param read_for: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log keeps records, in seconds.
-    :param key_bounds: How old what it knows of keys may be.
-    :param usage: Windows of the usage that is reported; none if none is.
+    :param key_bounds: Freshness limits of what is known of keys.
+    :param usage: Windows of the usage that is reported; None if no usage is reported.
     """
 
     vm: str
@@ -102,12 +101,12 @@
 @dataclass(frozen=True)
 class GatewayPorts:
     """
-    The outside world, by adapters.
+    The adapters to the environment of a gateway.
 
-    :param operator: Configurations and named versions.
-    :param entries: What engines write of themselves.
-    :param reconnect: Has new connections to the store used from now on.
-    :param duties: Calls to the platform, if it asks for any.
+    :param operator: Registry of configurations and named versions.
+    :param entries: Registry of the engines' entries.
+    :param reconnect: Called to use new connections to the store for further calls.
+    :param duties: Calls to the platform; None if there are none.
     """
 
     log: SharedLog
@@ -120,14 +119,17 @@
 
 class Gateway:
     """
-    One node's part of the service.
+    One node of the service.
+
+    :param record_request: Called with the route, the result code and the duration in
+        seconds of each request.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
         ports: GatewayPorts,
-        count: Callable[[str, ResultCode, float], None],
+        record_request: Callable[[str, ResultCode, float], None],
     ) -> None:
         self._stopping = False
         self._tasks: list[asyncio.Task] = []
@@ -149,20 +151,22 @@
             view.store_reached,
         )
         pool = EnginePool(self.view, own_order(settings.vm))
-        lives = EngineLives(self.view)
+        timeouts = EngineLives(self.view)
         self.admission = Admission(
             view, lambda: self._operator.confirmed_at, settings.key_bounds
         )
         self._leases = LeaseLog(log, f"{settings.vm}@{settings.address}")
-        self._ends = EngineEndWatch(ports.engines, self.view.memory, self._leases, log)
+        self._crash_watch = EngineEndWatch(
+            ports.engines, self.view.memory, self._leases, log
+        )
         self.pass_through = PassThrough(
             self.view,
             pool,
             ports.engines,
-            lives,
-            self._ends,
+            timeouts,
+            self._crash_watch,
             self.admission,
-            count,
+            record_request,
             self._count_usage,
             self._standstills.held_up,
         )
@@ -175,29 +179,29 @@
             Changes(),
             settings.read_for,
             settings.retention,
-            self._store_is_silent,
+            self._is_store_silent,
             lambda: self._shares.any_held,
         )
         self._writer = RecordWriter(log, texts)
         self._shares = WorkShares(
             self._leases,
             self._wanted_shares,
-            self._read_on,
-            self._shares_changed,
+            self._sync_jobs,
+            self._on_shares_changed,
             settings.cores,
         )
         paces = EnginePaces(self.view.memory)
-        silent = SilentEngines(ports.engines, self.view.memory)
-        placement = Placement(self.view, pool, paces, silent)
+        unresponsive = SilentEngines(ports.engines, self.view.memory)
+        placement = Placement(self.view, pool, paces, unresponsive)
         self._known_ends = KnownEnds(self._log_view, settings.cancel_time)
         self._runner = JobRunner(
             self.jobs,
             self.view,
             pool,
-            silent,
+            unresponsive,
             placement,
-            Attempts(ports.engines, paces, placement, lives, self._ends),
-            self._ends,
+            Attempts(ports.engines, paces, placement, timeouts, self._crash_watch),
+            self._crash_watch,
             self._writer,
             texts,
             Scorer(self.view, self.pass_through),
@@ -215,7 +219,7 @@
         self._weights = WeightKeeper(
             self.view,
             ports.engines,
-            lives,
+            timeouts,
             self._lease,
             settings.vm,
             self._keep_runs,
@@ -225,12 +229,12 @@
     @property
     def ready(self) -> bool:
         """
-        Whether this node should get callers.
+        Whether this node should receive requests.
         """
         engines_known = self._entries.is_loaded
         caught_up = self.jobs.caught_up and self._leases.caught_up
         known = self.view.config is not None and engines_known and caught_up
-        return known and not self._store_is_silent() and not self._stopping
+        return known and not self._is_store_silent() and not self._stopping
 
     @property
     def stopping(self) -> bool:
@@ -241,7 +245,7 @@
 
     def skipped_records(self) -> dict[str, int]:
         """
-        Return how many records of the store could not be used, by what they hold.
+        Return the number of records that could not be used, by kind.
         """
         return {
             "operator": self._operator.skipped,
@@ -255,7 +259,7 @@
     @property
     def standstills(self) -> int:
         """
-        Times that this process has stood still, a count.
+        Number of pauses of this process.
         """
         return self._standstills.count
 
@@ -277,7 +281,7 @@
         """
         Start the loops.
 
-        :param failed: Called when one of them ended by a fault.
+        :param failed: Called with the exception of a loop that failed.
         """
         loops: list[Coroutine] = [
             self._standstills.run(),
@@ -286,7 +290,7 @@
             self.jobs.run(),
             self._writer.run(),
             self._leases.run(),
-            self._ends.run(),
+            self._crash_watch.run(),
             self._shares.run(),
             self._runner.run(),
             self._runner.keep(),
@@ -297,32 +301,33 @@
             loops += self._usage.loops()
         for loop in loops:
             task = asyncio.create_task(loop)
-            task.add_done_callback(lambda task: _report(task, failed))
+            task.add_done_callback(lambda task: _report_failure(task, failed))
             self._tasks.append(task)
 
     async def stop(self, patience: float) -> None:
         """
-        Hand over what this node has: its jobs and its lease.
+        Hand over the jobs and leases of this node.
 
-        Its items run on while the store is away: nobody could take them over, and what
-        they have made of their texts would be lost (ten items of one step, 4 s each,
-        in a play with an outage among planned stops).
+        Its items continue while the store is unavailable: no other node could take them
+        over, and the progress of their texts would be lost.
 
         :param patience: Longest wait for the store, in seconds.
         """
         self._stopping = True
-        began = boot_time()
-        while not await self.jobs.sync() and boot_time() < began + patience:
-            await asyncio.sleep(_RETRY)
+        started_at = boot_time()
+        while not await self.jobs.sync() and boot_time() < started_at + patience:
+            await asyncio.sleep(_RETRY_PAUSE)
         self._runner.hand_over()
-        flushed = await self._writer.flushed(_FLUSH_LIMIT)
+        flushed = await self._writer.flushed(_FLUSH_TIMEOUT)
         await self._shares.release()
         await asyncio.gather(self._lease.release(), self._release_usage())
-        _log.info("handed_over", flushed=flushed, seconds=round(boot_time() - began, 3))
+        _log.info(
+            "handed_over", flushed=flushed, seconds=round(boot_time() - started_at, 3)
+        )
 
     async def close(self) -> None:
         """
-        Write the last counts, and end the loops.
+        Append the last usage counts, and cancel the loops.
         """
         if self._usage is not None:
             await self._usage.close()
@@ -334,12 +339,12 @@
         if self._usage is not None:
             await self._usage.release()
 
-    def _count_usage(self, workspace: str, began_at: float) -> None:
+    def _count_usage(self, workspace: str, started_at: float) -> None:
         if self._usage is not None:
-            self._usage.count(workspace, began_at)
+            self._usage.count(workspace, started_at)
 
-    def _store_is_silent(self) -> bool:
-        return boot_time() - self._store.answered_at > _ALONE
+    def _is_store_silent(self) -> bool:
+        return boot_time() - self._store.answered_at > _MAX_STORE_SILENCE
 
     def _log_view(self) -> LogView:
         return LogView(
@@ -352,19 +357,19 @@
         open_jobs = self.jobs.open_jobs()
         return self.view.shares() | {self.view.share_of(s.job) for s in open_jobs}
 
-    async def _read_on(self) -> None:
+    async def _sync_jobs(self) -> None:
         """
-        Learn what the node before has left; one that was cut off does not know it.
+        Read the records of the previous holder.
         """
         await self.jobs.sync()
 
-    async def _shares_changed(self) -> None:
+    async def _on_shares_changed(self) -> None:
         """
-        Take up what is new, let go what others run now, and leave them what was made.
+        Stop items of lost shares, start those of new ones, and append pending records.
         """
         self._runner.let_go()
         self._runner.wake()
-        await self._writer.flushed(_HAND_OVER_LIMIT)
+        await self._writer.flushed(_HAND_OVER_TIMEOUT)
 
     def _wake(self) -> None:
         self._runner.wake()
@@ -375,7 +380,7 @@
 
     def _keep_runs(self, model: str) -> bool:
         """
-        Whether no route of a model's jobs asks for texts of a single version.
+        Whether no route of a model's jobs requires texts of a single version.
         """
         config = self.view.config
         if config is None:
@@ -389,6 +394,8 @@
         )
 
 
-def _report(task: asyncio.Task, failed: Callable[[BaseException], None]) -> None:
+def _report_failure(
+    task: asyncio.Task, failed: Callable[[BaseException], None]
+) -> None:
     if not task.cancelled() and task.exception() is not None:
         failed(task.exception())
--- a/packages/saddledoord/src/saddledoord/standstills.py
+++ b/packages/saddledoord/src/saddledoord/standstills.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Notices that this process has stood still: stopped, suspended, or without a processor.
+Detects pauses of this process: stopped, suspended or without processor time.
 """
 
 from __future__ import annotations
@@ -18,99 +18,95 @@
 
 _log = structlog.get_logger()
 
-#: How often a process that runs shows that it does, in seconds.
-_BEAT = 0.1
-#: Time without a beat from which the process has stood still, in seconds. A shorter one
-#: leaves what was known newer than `cancel_ms` allows (3 s): it was read 1 s before the
-#: standstill at most, and is read again 0.2 s after it. And a VM that is slow for long
-#: holds its timers up for tenths of a second each time without standing still.
-_STANDSTILL = 0.8
-#: Time after a standstill, in seconds, in which what came during it is read: all of it
-#: in the loop's first steps, 0.05 s at a load of 18 on 8 cores.
-_READ_WITHIN = 0.2
-#: Time between two looks from which callers may have come meanwhile that this process
-#: has not accepted yet, in seconds: a few steps of the loop take a thousandth of it.
-_LATE_LOOK = 0.1
+#: Interval of the heartbeat, in seconds.
+_HEARTBEAT_INTERVAL = 0.1
+#: Shortest time without a heartbeat that counts as a pause, in seconds; timers of a
+#: slow machine are late by less, and after a shorter pause the state is recent enough.
+_MIN_PAUSE = 0.8
+#: Time after a pause in which input that arrived during it is read, in seconds.
+_READ_TIME = 0.2
+#: Longest time between two polls that leaves no connection unaccepted, in seconds.
+_MAX_POLL_DELAY = 0.1
 
 
 class Looks:
     """
-    Looks of a process that would end once nobody waits.
+    Polls of a process that ends once no request is in flight.
 
-    Right after a standstill it has nothing in flight, though callers may wait at its
-    listener: closing that would reset them. So it looks once more.
+    Right after a process pause connections may wait at the listener that closing it
+    would reset. So the process ends only after a poll that soon follows another one.
 
-    :param clock: Monotonic, in seconds, time of suspension included.
+    :param clock: Returns the time, monotonic, in seconds, including suspension.
     """
 
     def __init__(self, clock: Callable[[], float] = boot_time) -> None:
         self._clock = clock
-        self._looked_at = float("-inf")
+        self._polled_at = float("-inf")
 
     def is_on_time(self) -> bool:
         """
-        Look; return whether the look before was shortly before.
+        Poll; return whether the previous poll was a short time ago.
         """
         now = self._clock()
-        passed, self._looked_at = now - self._looked_at, now
-        return passed < _LATE_LOOK
+        passed, self._polled_at = now - self._polled_at, now
+        return passed < _MAX_POLL_DELAY
 
 
 class Standstills:
     """
-    Knows when the last standstill ended, also before any timer has noticed it.
+    Detects pauses of the process when queried, and by a heartbeat.
 
-    What was known before a standstill may not hold after it, and which of the waiting
-    tasks goes on first is left to chance. So it is looked for when it is asked about.
+    After a pause any task may resume before the heartbeat, with outdated state. So each
+    query checks for a pause itself.
 
-    :param clock: Monotonic, in seconds, time of suspension included.
+    :param clock: Returns the time, monotonic, in seconds, including suspension.
     """
 
     def __init__(self, clock: Callable[[], float] = boot_time) -> None:
         self._clock = clock
-        self._beat_at = clock()
+        self._last_heartbeat = clock()
         self._ended_at = float("-inf")
-        self._lasted = 0.0
+        self._last_pause = 0.0
         self._count = 0
 
     @property
     def count(self) -> int:
         """
-        Standstills so far, a count.
+        Number of pauses.
         """
-        self._look()
+        self._check()
         return self._count
 
     @property
     def ended_at(self) -> float:
         """
-        When the last one ended, monotonic, in seconds; long ago if there was none.
+        When the last pause ended, monotonic, in seconds; minus infinity without one.
         """
-        self._look()
+        self._check()
         return self._ended_at
 
     def held_up(self) -> float:
         """
-        Return how long something may have waited that is read now, in seconds.
+        Return how long input that is read now may have waited, in seconds.
         """
-        self._look()
-        just_ended = self._clock() - self._ended_at < _READ_WITHIN
-        return self._lasted if just_ended else 0.0
+        self._check()
+        just_ended = self._clock() - self._ended_at < _READ_TIME
+        return self._last_pause if just_ended else 0.0
 
     async def run(self) -> None:
         """
-        Show that the process runs, until cancelled.
+        Run the heartbeat until cancelled.
         """
         while True:
-            self._look()
-            await asyncio.sleep(_BEAT)
+            self._check()
+            await asyncio.sleep(_HEARTBEAT_INTERVAL)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._clock()
-        stood = now - self._beat_at
-        self._beat_at = now
-        if stood > _STANDSTILL:
+        pause = now - self._last_heartbeat
+        self._last_heartbeat = now
+        if pause > _MIN_PAUSE:
             self._ended_at = now
-            self._lasted = stood
+            self._last_pause = pause
             self._count += 1
-            _log.warning("stood_still", seconds=round(stood, 3))
+            _log.warning("stood_still", seconds=round(pause, 3))
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -78,7 +78,7 @@
     Guard(
         "a standstill is noticed when it is asked about",
         f"{DAEMON}/standstills.py",
-        """        self._look()
+        """        self._check()
         return self._ended_at""",
         "        return self._ended_at",
         (KNOWN_ENDS, "before_any_timer"),
--- a/tests/guard_rows/nodes.py
+++ b/tests/guard_rows/nodes.py
@@ -36,7 +36,7 @@
     Guard(
         "a node that the store does not answer asks for no callers",
         f"{DAEMON}/gateway.py",
-        "return boot_time() - self._store.answered_at > _ALONE",
+        "return boot_time() - self._store.answered_at > _MAX_STORE_SILENCE",
         "return False",
         (REQUESTS, "without_an_answer_of_the_store"),
     ),
@@ -106,7 +106,7 @@
     Guard(
         "a planned stop waits for the store",
         f"{DAEMON}/gateway.py",
-        "while not await self.jobs.sync() and boot_time() < began + patience:",
+        "while not await self.jobs.sync() and boot_time() < started_at + patience:",
         "while False:",
         (WEIGHTS, "loses_no_text"),
     ),
--- a/tests/test_asking_again.py
+++ b/tests/test_asking_again.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("end", _ENDED)
-def test_an_engine_that_is_done_with_a_request_may_have_it_again(end):
+def test_a_request_may_be_retried_at_an_engine_that_finished_it(end):
     """
     After a backoff, also while another engine runs the request.
     """
@@ -75,7 +75,7 @@
     assert _attempts((_A, end), repeatable=False).may_return_at() == {}
 
 
-def test_the_pause_doubles_with_each_attempt_at_the_engine():
+def test_the_backoff_doubles_with_each_attempt_at_the_engine():
     """
     So that an engine that keeps failing gets few attempts.
     """
@@ -162,7 +162,7 @@
     assert (calls, seconds < 0.1) == (Counter({"desk-0": 1, "desk-1": 1}), True)
 
 
-def test_no_attempt_is_begun_that_cannot_be_answered_in_time():
+def test_no_attempt_is_started_that_cannot_be_answered_in_time():
     """
     The caller gets the outcome at once instead.
     """
@@ -190,7 +190,7 @@
     assert calls["desk-0"] - 20 <= 3
 
 
-def test_all_go_again_once_one_of_them_has_been_answered():
+def test_all_are_retried_once_one_of_them_has_been_answered():
     """
     The engine fails for 0.3 s.
     """
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Timers of a VM that was suspended.
+Timers during a suspension of the VM.
 
-A suspended VM is played by a boot-time clock that jumps while the steady one does not.
+A suspension is simulated by a boot-time clock that jumps while the monotonic one does
+not.
 """
 
 from __future__ import annotations
@@ -20,7 +21,9 @@
 
 class _Vm:
     """
-    A clock that a test suspends.
+    The boot-time clock of a simulated VM.
+
+    :ivar suspended: Total time of suspension, in seconds.
     """
 
     def __init__(self) -> None:
@@ -37,9 +40,12 @@
     return vm
 
 
-async def _late_by(vm: _Vm, limit: float, suspended: float) -> float:
+async def _delay_of_timeout(vm: _Vm, limit: float, suspended: float) -> float:
     """
-    Return how long after the end of a suspension a limit that began before it ends.
+    Return how long after a suspension a timeout expires that was started before it.
+
+    :param limit: The timeout, in seconds.
+    :param suspended: Duration of the suspension, in seconds.
     """
     standstills = asyncio.create_task(Standstills(vm.boot_time).run())
     await asyncio.sleep(0.05)
@@ -53,30 +59,30 @@
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(limit):
             await asyncio.sleep(60.0)
-    ended = time.monotonic()
+    expired_at = time.monotonic()
     standstills.cancel()
-    return ended - suspension.result()
+    return expired_at - suspension.result()
 
 
 @pytest.mark.parametrize("suspended", [3.0, 10.0])
 def test_a_limit_that_passed_while_the_vm_was_suspended_ends_at_once(vm, suspended):
     """
-    At the next heartbeat, 0.1 s after the VM goes on; the limit was 2 s.
+    It expires at the next heartbeat.
     """
-    assert run_by_boot_time(_late_by(vm, 2.0, suspended)) < 0.4
+    assert run_by_boot_time(_delay_of_timeout(vm, 2.0, suspended)) < 0.4
 
 
 def test_a_limit_goes_on_where_a_short_suspension_left_it(vm):
     """
-    Of 1.0 s, 0.05 s have passed before and 0.5 s in it.
+    The suspension counts as passed time.
     """
-    late = run_by_boot_time(_late_by(vm, 1.0, 0.5))
-    assert 0.3 < late < 0.7
+    delay = run_by_boot_time(_delay_of_timeout(vm, 1.0, 0.5))
+    assert 0.3 < delay < 0.7
 
 
 def test_the_loop_counts_what_the_boot_time_clock_counts():
     """
-    In one place: every timer, pause and limit goes by the loop.
+    All timers use the time of the loop.
     """
     loop = BootTimeLoop()
     try:
@@ -90,19 +96,19 @@
 )
 def test_both_daemons_run_by_it(program, request):
     """
-    None of them runs on the usual loop.
+    A daemon on the default loop would ignore suspensions.
     """
     text = (request.config.rootpath / program).read_text()
     assert "run_by_boot_time(" in text
     assert "asyncio.run(" not in text
 
 
-def test_a_look_after_a_standstill_is_not_on_time_and_the_next_one_is():
+def test_a_poll_after_a_pause_is_late_and_the_next_one_is_not():
     """
-    Callers may have come meanwhile; within a step of the loop they have been accepted.
+    Connections that arrived during a pause must be accepted before the process ends.
     """
     now = [10.0]
-    looks = Looks(lambda: now[0])
+    polls = Looks(lambda: now[0])
     for passed, on_time in ((0.05, False), (0.05, True), (0.4, False), (0.05, True)):
         now[0] += passed
-        assert looks.is_on_time() is on_time
+        assert polls.is_on_time() is on_time
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -105,7 +105,7 @@
     assert 2 <= registry.reads <= 6
 
 
-def test_a_reader_gets_what_was_listed_just_now():
+def test_a_reader_gets_results_without_the_batch_delay():
     """
     A follower's pause after new records must not delay a reader's results.
     """
--- a/tests/test_work_shares.py
+++ b/tests/test_work_shares.py
@@ -114,7 +114,7 @@
     asyncio.run(scenario())
 
 
-def test_a_planned_stop_passes_a_share_on_at_once():
+def test_a_planned_stop_releases_a_share_at_once():
     """
     A released share is claimed before its term has passed.
     """
@@ -134,7 +134,7 @@
     asyncio.run(scenario())
 
 
-def test_a_dead_node_s_share_is_taken_after_its_term():
+def test_a_crashed_node_s_share_is_claimed_after_its_term():
     """
     Not before, since a running node renews it in time.
     """
@@ -153,7 +153,7 @@
     asyncio.run(scenario())
 
 
-def test_a_machine_that_comes_back_has_its_share_at_once():
+def test_a_restarted_machine_claims_its_share_at_once():
     """
     A restarted machine claims its share before the term has passed.
     """
@@ -195,7 +195,7 @@
     asyncio.run(scenario())
 
 
-def test_a_holder_that_was_replaced_lets_go():
+def test_a_replaced_holder_drops_its_share():
     """
     A paused holder notices it as soon as it reads the log again.
     """
@@ -232,7 +232,7 @@
     asyncio.run(scenario())
 
 
-def test_a_node_that_waits_does_not_look_all_the_time(monkeypatch):
+def test_a_waiting_node_does_not_poll_in_a_busy_loop(monkeypatch):
     """
     Also if another node claimed the share just before it.
     """
