--- a/packages/saddledoord/src/saddledoord/_daemon.py
+++ b/packages/saddledoord/src/saddledoord/_daemon.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from saddledoor.tracing import NodeBegan, StageChanged
+from saddledoor.tracing import NodeStarted, StageChanged
 
 from ._clock import boot_time
 from ._parts import Parts, build_parts
@@ -21,8 +21,8 @@
 from ._state import NodeState
 from .http.server import HttpServer, listen, server_config
 from .peers.server import start_peer_server
+from .process_pauses import ShutdownPoll
 from .samples.collector import collector_lease
-from .standstills import Looks
 
 
 __all__ = ["Daemon"]
@@ -58,7 +58,7 @@
         :raises OSError: If an address cannot be bound.
         """
         self._handle_signals()
-        self._state.trace(NodeBegan())
+        self._state.trace(NodeStarted())
         settings = self._settings
         parts = build_parts(settings, self._state, self._spawn)
         peer_server = await start_peer_server(
--- a/packages/saddledoord/src/saddledoord/cluster/changes.py
+++ b/packages/saddledoord/src/saddledoord/cluster/change_notifier.py
@@ -9,16 +9,16 @@
 import asyncio
 
 
-__all__ = ["Changes"]
+__all__ = ["ChangeNotifier"]
 
 
-class Changes:
+class ChangeNotifier:
     """
     Wakes the tasks that wait for the next change of a key.
     """
 
     @property
-    def awaited(self) -> bool:
+    def has_waiters(self) -> bool:
         """
         Whether a task waits for a change of any key.
         """
--- a/packages/saddledoord/src/saddledoord/cluster/lives.py
+++ b/packages/saddledoord/src/saddledoord/cluster/engine_timeouts.py
@@ -15,10 +15,10 @@
 from .view import ClusterView
 
 
-__all__ = ["EngineLives"]
+__all__ = ["EngineTimeouts"]
 
 
-class EngineLives:
+class EngineTimeouts:
     """
     Timeouts for work at an engine that also expire when the engine restarts.
 
@@ -48,11 +48,11 @@
             finally:
                 timeouts.discard(timeout)
 
-    def is_over(self, incarnation: Incarnation) -> bool:
+    def has_restarted(self, incarnation: Incarnation) -> bool:
         """
         Return whether an engine has restarted since this incarnation.
         """
-        return self._view.is_over(incarnation)
+        return self._view.has_restarted(incarnation)
 
 
 def _expire(timeouts: set[asyncio.Timeout]) -> None:
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -16,16 +16,16 @@
 
 from .._clock import boot_time
 from ..ports import (
-    LARGEST_PAGE,
-    USUAL_PATIENCE,
+    DEFAULT_ANSWER_TIMEOUT,
+    MAX_PAGE_BYTES,
     KeyedEntry,
     KeyedPage,
-    LogGoneError,
     LogPage,
+    LogTruncatedError,
     Registry,
     SharedLog,
-    StoreAwayError,
-    Unusable,
+    StoreUnavailableError,
+    UnusableValue,
 )
 
 
@@ -130,7 +130,7 @@
         self._last_read_at = float("-inf")
 
     @property
-    def reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """
         Whether the store answered the last read.
         """
@@ -144,7 +144,7 @@
         return self._skipped
 
     @property
-    def confirmed_at(self) -> float:
+    def synced_at(self) -> float:
         """
         When all records of the log were last known, monotonic, in seconds.
         """
@@ -223,8 +223,8 @@
     async def _read(self, wait: float, patience: float) -> LogPage:
         started_at = boot_time()
         try:
-            page = await self._page(wait, patience)
-        except StoreAwayError:
+            page = await self._page(wait, answer_timeout)
+        except StoreUnavailableError:
             self._page_size.failed()
             raise
         finally:
@@ -232,11 +232,13 @@
         self._page_size.answered()
         return page
 
-    async def _page(self, wait: float, patience: float) -> LogPage:
+    async def _page(self, wait: float, answer_timeout: float) -> LogPage:
         size = self._page_size.current
         try:
-            return await self._log.read(self._stream, self._next, wait, size, patience)
-        except LogGoneError as error:
+            return await self._log.read(
+                self._stream, self._next, wait, size, answer_timeout
+            )
+        except LogTruncatedError as error:
             _log.warning("records_gone", stream=self._stream, first=error.first)
             # A concurrent read may have advanced meanwhile.
             self._next = max(self._next, error.first)
@@ -307,7 +309,7 @@
         self._reachability = _Reachability(name, on_reachable)
 
     @property
-    def confirmed_at(self) -> float:
+    def synced_at(self) -> float:
         """
         When all changes of the registry were last known, monotonic, in seconds.
         """
@@ -363,7 +365,7 @@
             # A page of newest values is no snapshot: later changes may be among them.
             if entry.offset > self._offsets.get(entry.key, -1):
                 self._offsets[entry.key] = entry.offset
-                self._skipped += isinstance(entry.value, Unusable)
+                self._skipped += isinstance(entry.value, UnusableValue)
                 self._apply(entry)
         if page.whole:
             self._is_loaded = True
--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -21,8 +21,8 @@
 )
 
 from .._clock import boot_time
-from ..ports import Appended, NotAppended, SharedLog, UnknownAppend
-from .changes import Changes
+from ..ports import Appended, AppendOutcomeUnknown, NotAppended, SharedLog
+from .change_notifier import ChangeNotifier
 from .follow import LogFollower
 
 
@@ -75,11 +75,11 @@
         return self._follower.caught_up
 
     @property
-    def reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """
         Whether the store answered the last read of the stream.
         """
-        return self._follower.reached
+        return self._follower.is_store_reachable
 
     @property
     def skipped(self) -> int:
@@ -148,7 +148,7 @@
         """
         return sorted(name for name in self._fold.leases if self.is_mine(name))
 
-    def may_take(self, name: str, term: float) -> bool:
+    def may_claim(self, name: str, term: float) -> bool:
         """
         Whether a claim may be appended now.
 
@@ -164,7 +164,7 @@
         if machine == self._machine:
             return lease.holder != self._holder
         watch = self._watches.setdefault(name, LeaseWatch(term))
-        return watch.may_take(lease, boot_time())
+        return watch.may_claim(lease, boot_time())
 
     async def claim(self, name: str) -> Lease | None:
         """
@@ -172,7 +172,7 @@
         """
         seen = self.get(name)
         claim = LeaseClaim(
-            secrets.token_hex(8), name, self._holder, seen.last if seen else -1
+            secrets.token_hex(8), name, self._holder, seen.last_offset if seen else -1
         )
         await self._append([claim])
         # Only the log shows whether the claim succeeded, whatever the append returned.
@@ -207,7 +207,7 @@
 
     async def _append(
         self, records: Sequence[LeaseClaim | LeaseRenewal | LeaseRelease]
-    ) -> Appended | NotAppended | UnknownAppend:
+    ) -> Appended | NotAppended | AppendOutcomeUnknown:
         data = [encode_record(record).encode() for record in records]
         return await self._log.append(CONTROL_STREAM, data, _ANSWER_TIMEOUT)
 
--- a/packages/saddledoord/src/saddledoord/cluster/store_watch.py
+++ b/packages/saddledoord/src/saddledoord/cluster/store_watch.py
@@ -18,16 +18,16 @@
 
 from .._clock import boot_time
 from ..ports import (
-    LARGEST_PAGE,
-    USUAL_PATIENCE,
+    DEFAULT_ANSWER_TIMEOUT,
+    MAX_PAGE_BYTES,
     Appended,
+    AppendOutcomeUnknown,
     KeyedPage,
     LogPage,
     NotAppended,
     Registry,
     SharedLog,
-    StoreAwayError,
-    UnknownAppend,
+    StoreUnavailableError,
 )
 
 
@@ -123,8 +123,8 @@
         self._watch = watch
 
     async def append(
-        self, stream: str, records: Sequence[bytes], patience: float = 1.5
-    ) -> Appended | NotAppended | UnknownAppend:
+        self, stream: str, records: Sequence[bytes], answer_timeout: float = 1.5
+    ) -> Appended | NotAppended | AppendOutcomeUnknown:
         """
         See `SharedLog.append`.
         """
@@ -143,8 +143,8 @@
         stream: str,
         start: int,
         wait: float = 0.0,
-        largest: int = LARGEST_PAGE,
-        patience: float = USUAL_PATIENCE,
+        max_bytes: int = MAX_PAGE_BYTES,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
     ) -> LogPage:
         """
         See `SharedLog.read`.
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -13,41 +13,41 @@
 import structlog
 
 from saddledoor import (
-    JobBook,
-    KeyBounds,
+    JobFold,
+    KeyFreshnessBounds,
     ResultCode,
     RouteKind,
     UsageWindows,
-    own_order,
+    least_outstanding_rendezvous,
 )
 
 from ._clock import boot_time
-from .cluster.changes import Changes
+from .cluster.change_notifier import ChangeNotifier
+from .cluster.engine_timeouts import EngineTimeouts
 from .cluster.follow import RegistryFollower
 from .cluster.leases import LeaseLog
-from .cluster.lives import EngineLives
 from .cluster.store_watch import StoreWatch, WatchedLog, WatchedRegistry
 from .cluster.view import ClusterView
 from .cluster.work_shares import WorkShares
 from .duties.lease import DutyLease
 from .duties.usage import UsageDuty
-from .jobs.attempt import Attempts
-from .jobs.known_ends import KnownEnds, LogView
+from .jobs.attempt import AttemptRunner
+from .jobs.log_freshness import LogFreshness, LogReadState
 from .jobs.placement import Placement
 from .jobs.record_writer import RecordWriter
 from .jobs.runner import JobRunner
 from .jobs.scoring import Scorer
 from .jobs.service import JobService
 from .jobs.texts import TextStore
-from .orders.weights import WeightKeeper
+from .orders.weights import WeightUpdater
 from .ports import DutyCalls, Engines, Registry, SharedLog
+from .process_pauses import ProcessPauses
 from .serving.admission import Admission
-from .serving.engine_ends import EngineEndWatch
+from .serving.engine_crash_watch import EngineCrashWatch
 from .serving.pace import EnginePaces
 from .serving.pass_through import PassThrough
 from .serving.pool import EnginePool
-from .serving.silence import SilentEngines
-from .standstills import Standstills
+from .serving.unresponsive_engines import UnresponsiveEngines
 
 
 __all__ = ["Gateway", "GatewayPorts", "GatewaySettings"]
@@ -91,10 +91,10 @@
     lease_term: float
     largest_record: int
     largest_append: int
-    cancel_time: float
-    read_for: float
+    cancel_limit: float
+    result_retention: float
     retention: float
-    key_bounds: KeyBounds
+    key_bounds: KeyFreshnessBounds
     usage: UsageWindows | None = None
 
 
@@ -133,7 +133,7 @@
     ) -> None:
         self._stopping = False
         self._tasks: list[asyncio.Task] = []
-        self._standstills = Standstills()
+        self._standstills = ProcessPauses()
         self.view = ClusterView()
         view = self.view
         self._store = StoreWatch(ports.reconnect)
@@ -147,13 +147,13 @@
             WatchedRegistry(ports.entries, self._store),
             "engines",
             self._apply_engine,
-            view.engines_replaced,
+            view.retain_engines,
             view.store_reached,
         )
         pool = EnginePool(self.view, own_order(settings.vm))
         timeouts = EngineLives(self.view)
         self.admission = Admission(
-            view, lambda: self._operator.confirmed_at, settings.key_bounds
+            view, lambda: self._operator.synced_at, settings.key_bounds
         )
         self._leases = LeaseLog(log, f"{settings.vm}@{settings.address}")
         self._crash_watch = EngineEndWatch(
@@ -168,16 +168,16 @@
             self.admission,
             record_request,
             self._count_usage,
-            self._standstills.held_up,
+            self._standstills.read_delay,
         )
-        book = JobBook()
+        book = JobFold()
         texts = TextStore(log, settings.largest_record, settings.largest_append)
         self.jobs = JobService(
             log,
             book,
             texts,
-            Changes(),
-            settings.read_for,
+            ChangeNotifier(),
+            settings.result_retention,
             settings.retention,
             self._is_store_silent,
             lambda: self._shares.any_held,
@@ -206,7 +206,7 @@
             texts,
             Scorer(self.view, self.pass_through),
             self._shares.owns,
-            self._known_ends,
+            self._log_freshness,
         )
         self.jobs.on_change(self._wake)
         self._lease = DutyLease(self._leases, "orders", settings.lease_term)
@@ -216,7 +216,7 @@
             self._usage = UsageDuty(
                 log, ports.duties, lease, settings.usage, settings.vm, settings.address
             )
-        self._weights = WeightKeeper(
+        self._weights = WeightUpdater(
             self.view,
             ports.engines,
             timeouts,
@@ -257,7 +257,7 @@
         }
 
     @property
-    def standstills(self) -> int:
+    def pause_count(self) -> int:
         """
         Number of pauses of this process.
         """
@@ -265,17 +265,17 @@
 
     def set_bounds(
         self,
-        cancel_time: float,
-        read_for: float,
+        cancel_limit: float,
+        result_retention: float,
         retention: float,
-        key_bounds: KeyBounds,
+        key_bounds: KeyFreshnessBounds,
     ) -> None:
         """
         Change bounds while the node runs; see `GatewaySettings`.
         """
         self.admission.set_bounds(key_bounds)
-        self._known_ends.set_cancel_time(cancel_time)
-        self.jobs.keep_for(read_for, retention)
+        self._log_freshness.set_cancel_limit(cancel_limit)
+        self.jobs.set_retention(result_retention, retention)
 
     def start(self, failed: Callable[[BaseException], None]) -> None:
         """
@@ -293,7 +293,7 @@
             self._crash_watch.run(),
             self._shares.run(),
             self._runner.run(),
-            self._runner.keep(),
+            self._runner.persist(),
             self._lease.run(),
             self._weights.run(),
         ]
@@ -304,14 +304,14 @@
             task.add_done_callback(lambda task: _report_failure(task, failed))
             self._tasks.append(task)
 
-    async def stop(self, patience: float) -> None:
+    async def stop(self, store_timeout: float) -> None:
         """
         Hand over the jobs and leases of this node.
 
         Its items continue while the store is unavailable: no other node could take them
         over, and the progress of their texts would be lost.
 
-        :param patience: Longest wait for the store, in seconds.
+        :param store_timeout: Longest wait for the store, in seconds.
         """
         self._stopping = True
         started_at = boot_time()
@@ -346,9 +346,9 @@
     def _is_store_silent(self) -> bool:
         return boot_time() - self._store.answered_at > _MAX_STORE_SILENCE
 
-    def _log_view(self) -> LogView:
-        return LogView(
-            self.jobs.confirmed_at,
+    def _log_read_state(self) -> LogReadState:
+        return LogReadState(
+            self.jobs.synced_at,
             self.jobs.store_reached,
             self._standstills.ended_at,
         )
@@ -367,7 +367,7 @@
         """
         Stop items of lost shares, start those of new ones, and append pending records.
         """
-        self._runner.let_go()
+        self._runner.drop_unowned()
         self._runner.wake()
         await self._writer.flushed(_HAND_OVER_TIMEOUT)
 
--- a/packages/saddledoord/src/saddledoord/log/claims.py
+++ b/packages/saddledoord/src/saddledoord/log/claims.py
@@ -16,12 +16,12 @@
     KeyClaim,
     encode_record,
 )
-from saddledoor.tracing import ClaimDecided, Folded
+from saddledoor.tracing import ClaimDecided, RecordFolded
 
 from .._state import NodeState
 from ..observability.daemon_metrics import Metrics
 from ..observability.tracing import Emit
-from .client import LogAwayError, LogClient, LogPage
+from .client import LogClient, LogPage, LogUnavailableError
 
 
 __all__ = ["ClaimLog"]
@@ -120,7 +120,7 @@
             if entry.record is not None:
                 data = encode_record(entry.record)
                 self._trace(
-                    Folded(self._stream, entry.offset, entry.at, data, page.first)
+                    RecordFolded(self._stream, entry.offset, entry.at, data, page.first)
                 )
             self._fold.apply(entry.offset, entry.at, entry.record)
 
@@ -170,7 +170,7 @@
         """
         try:
             await self._partition(partition).release(record)
-        except LogAwayError:
+        except LogUnavailableError:
             self.release_later(partition, record)
 
     async def run_releases(self) -> None:
@@ -182,7 +182,7 @@
             for claim_id, (partition, record) in list(self._pending_releases.items()):
                 try:
                     await self._partition(partition).release(record)
-                except LogAwayError:
+                except LogUnavailableError:
                     break
                 self._pending_releases.pop(claim_id, None)
 
--- a/packages/saddledoord/src/saddledoord/log/client.py
+++ b/packages/saddledoord/src/saddledoord/log/client.py
@@ -17,10 +17,10 @@
 from ..observability.daemon_metrics import Metrics
 
 
-__all__ = ["LogAwayError", "LogClient", "LogPage", "LoggedRecord"]
+__all__ = ["LogUnavailableError", "LogClient", "LogPage", "LoggedRecord"]
 
 
-class LogAwayError(Exception):
+class LogUnavailableError(Exception):
     """
     The log gave no usable answer; an append may still have taken effect.
     """
@@ -110,10 +110,10 @@
                 method, url, json=body, params=params, timeout=timeout
             ) as response:
                 if response.status != 200:
-                    raise LogAwayError(f"status {response.status}")
+                    raise LogUnavailableError(f"status {response.status}")
                 return await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise LogAwayError(repr(error)) from None
+            raise LogUnavailableError(repr(error)) from None
 
     def _decode(self, item: dict) -> LoggedRecord:
         try:
--- a/packages/saddledoord/src/saddledoord/ports/engines.py
+++ b/packages/saddledoord/src/saddledoord/ports/engines.py
@@ -60,7 +60,7 @@
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    mark: str
+    signature: str
 
 
 @dataclass(frozen=True)
@@ -131,10 +131,10 @@
 
     versions: dict[str, int]
     busy: bool
-    orders_taken: int
+    accepted_orders: int
     started_at: int | None = None
 
-    def is_of(self, engine: EngineEntry) -> bool:
+    def belongs_to(self, engine: EngineEntry) -> bool:
         """
         Return whether an entry is of the incarnation that reported this state; true if
         either does not give the start of its process.
@@ -158,8 +158,8 @@
     version: int
     holder: str
     fence: int
-    orders_taken: int
-    keep_runs: bool
+    accepted_orders: int
+    retain_running: bool
 
 
 class OrderOutcome:
@@ -167,8 +167,8 @@
     The outcome of an order, as far as the engine reported it.
     """
 
-    TAKEN = "taken"
-    HOLDS = "holds"
+    ACCEPTED = "taken"
+    ALREADY_APPLIED = "holds"
     CONFLICT = "conflict"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -203,7 +203,7 @@
         Return the state of an engine; None without a usable answer.
         """
 
-    async def is_gone(self, engine: EngineEntry) -> bool:
+    async def has_exited(self, engine: EngineEntry) -> bool:
         """
         Whether no process serves at an engine's address; false if that is not certain.
         """
--- a/packages/saddledoord/src/saddledoord/ports/store.py
+++ b/packages/saddledoord/src/saddledoord/ports/store.py
@@ -17,18 +17,18 @@
     "Appended",
     "KeyedEntry",
     "KeyedPage",
-    "LARGEST_PAGE",
-    "LogGoneError",
+    "MAX_PAGE_BYTES",
+    "LogTruncatedError",
     "LogPage",
     "NamedVersion",
     "NotAppended",
     "OperatorValue",
     "Registry",
     "SharedLog",
-    "StoreAwayError",
-    "USUAL_PATIENCE",
-    "UnknownAppend",
-    "Unusable",
+    "StoreUnavailableError",
+    "DEFAULT_ANSWER_TIMEOUT",
+    "AppendOutcomeUnknown",
+    "UnusableValue",
 ]
 
 
@@ -38,13 +38,13 @@
 USUAL_PATIENCE = 1.0
 
 
-class StoreAwayError(Exception):
+class StoreUnavailableError(Exception):
     """
     The store gave no usable answer in time.
     """
 
 
-class LogGoneError(Exception):
+class LogTruncatedError(Exception):
     """
     The log dropped records before they were read.
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True)
-class UnknownAppend:
+class AppendOutcomeUnknown:
     """
     The log may have appended the records, or may still append them.
     """
@@ -112,12 +112,12 @@
     """
 
     async def append(
-        self, stream: str, records: Sequence[bytes], patience: float = 1.5
-    ) -> Appended | NotAppended | UnknownAppend:
+        self, stream: str, records: Sequence[bytes], answer_timeout: float = 1.5
+    ) -> Appended | NotAppended | AppendOutcomeUnknown:
         """
         Append all records atomically.
 
-        :param patience: Longest wait for the answer, in seconds.
+        :param answer_timeout: Longest wait for the answer, in seconds.
         """
 
     async def read(
@@ -125,8 +125,8 @@
         stream: str,
         start: int,
         wait: float = 0.0,
-        largest: int = LARGEST_PAGE,
-        patience: float = USUAL_PATIENCE,
+        max_bytes: int = MAX_PAGE_BYTES,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
     ) -> LogPage:
         """
         Read records from an offset.
@@ -140,7 +140,7 @@
 
 
 @dataclass(frozen=True)
-class Unusable:
+class UnusableValue:
     """
     A value of a key that cannot be used.
 
@@ -163,7 +163,7 @@
 
     key: str
     offset: int
-    value: object | Unusable | None
+    value: object | UnusableValue | None
 
 
 @dataclass(frozen=True)
@@ -190,7 +190,7 @@
         """
         Read the newest value of every key.
 
-        :raises StoreAwayError: If there was no usable answer.
+        :raises StoreUnavailableError: If there was no usable answer.
         """
 
     async def changes(self, start: int, wait: float) -> KeyedPage:
--- a/packages/saddledoord/src/saddledoord/standstills.py
+++ b/packages/saddledoord/src/saddledoord/process_pauses.py
@@ -14,7 +14,7 @@
 from ._clock import boot_time
 
 
-__all__ = ["Looks", "Standstills"]
+__all__ = ["ShutdownPoll", "ProcessPauses"]
 
 _log = structlog.get_logger()
 
@@ -29,7 +29,7 @@
 _MAX_POLL_DELAY = 0.1
 
 
-class Looks:
+class ShutdownPoll:
     """
     Polls of a process that ends once no request is in flight.
 
@@ -43,7 +43,7 @@
         self._clock = clock
         self._polled_at = float("-inf")
 
-    def is_on_time(self) -> bool:
+    def polled_recently(self) -> bool:
         """
         Poll; return whether the previous poll was a short time ago.
         """
@@ -52,7 +52,7 @@
         return passed < _MAX_POLL_DELAY
 
 
-class Standstills:
+class ProcessPauses:
     """
     Detects pauses of the process when queried, and by a heartbeat.
 
@@ -85,7 +85,7 @@
         self._check()
         return self._ended_at
 
-    def held_up(self) -> float:
+    def read_delay(self) -> float:
         """
         Return how long input that is read now may have waited, in seconds.
         """
--- a/packages/saddledoord/src/saddledoord/serving/engine_choice.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_choice.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable, Iterable
 
-from saddledoor import EngineAttempts, EngineEntry, Incarnation, Standing
+from saddledoor import EngineAttempts, EngineEntry, Incarnation, PoisonStatus
 
 from .._clock import boot_time
-from .engine_ends import EngineEndWatch
+from .engine_crash_watch import EngineCrashWatch
 from .pool import EnginePool
 
 
@@ -38,7 +38,7 @@
 
         :param key: Identifies the request across attempts and nodes.
         """
-        if not attempts.may_go_on():
+        if not attempts.may_try_another_engine():
             return None
         tried = attempts.engines
 
--- a/packages/saddledoord/src/saddledoord/serving/engine_ends.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
@@ -15,23 +15,23 @@
 import structlog
 
 from saddledoor import (
-    EngineEnded,
-    EngineEnds,
+    EngineCrashed,
+    EngineCrashFold,
     EngineEntry,
-    EngineMemory,
+    EngineTables,
     Incarnation,
+    PoisonStatus,
     RequestsCleared,
-    Standing,
     encode_record,
 )
 
 from .._clock import boot_time
 from ..cluster.leases import CONTROL_STREAM, LeaseLog
-from ..jobs.appending import append_until_done
+from ..jobs.appending import append_until_acknowledged
 from ..ports import Engines, SharedLog
 
 
-__all__ = ["EngineEndWatch", "RunAtEngine"]
+__all__ = ["EngineCrashWatch", "EngineRun"]
 
 _log = structlog.get_logger()
 
@@ -57,7 +57,7 @@
 #: Largest number of records that wait for the store; the oldest are dropped first.
 _MAX_PENDING_RECORDS = 256
 
-_Record = EngineEnded | RequestsCleared
+_Record = EngineCrashed | RequestsCleared
 
 
 @dataclass(eq=False)
@@ -93,7 +93,7 @@
     is_closed: bool = False
 
 
-class RunAtEngine:
+class EngineRun:
     """
     Records the result of one request at one engine.
     """
@@ -105,20 +105,20 @@
         self._engine_runs = engine_runs
         self._run = run
 
-    def survived(self) -> None:
+    def record_completed(self) -> None:
         """
         Record that the engine ran the request and is alive.
         """
         self._engine_runs.runs.discard(self._run)
         self._watch.clear_request(self._run.key)
 
-    def not_run(self) -> None:
+    def record_not_started(self) -> None:
         """
         Record that the engine did not start the request.
         """
         self._engine_runs.runs.discard(self._run)
 
-    def broke_off(self, engine: EngineEntry) -> None:
+    def record_interrupted(self, engine: EngineEntry) -> None:
         """
         Record that the request ended without an answer; the engine may have crashed.
         """
@@ -126,7 +126,7 @@
         self._watch.check_engine(engine, self._engine_runs)
 
 
-class EngineEndWatch:
+class EngineCrashWatch:
     """
     Tracks which requests were at an engine when it crashed, and reports the crashes.
 
@@ -137,7 +137,11 @@
     """
 
     def __init__(
-        self, engines: Engines, memory: EngineMemory, leases: LeaseLog, log: SharedLog
+        self,
+        engines: Engines,
+        engine_tables: EngineTables,
+        leases: LeaseLog,
+        log: SharedLog,
     ) -> None:
         self._engines = engines
         self._leases = leases
@@ -149,7 +153,7 @@
         self._has_pending = asyncio.Event()
         leases.on_other_record(self._apply)
 
-    def standing(self, key: str) -> Standing:
+    def poison_status(self, key: str) -> PoisonStatus:
         """
         Return the standing of a request.
 
@@ -172,7 +176,7 @@
         """
         return boot_time() - self._leases.last_read_at <= _MAX_READ_AGE
 
-    async def ask(self) -> None:
+    async def refresh(self) -> None:
         """
         Read the control stream if this node may have missed records; wait briefly.
         """
@@ -186,7 +190,7 @@
         if not is_synced:
             _log.info("engine_ends_not_asked", known=len(self._crashes))
 
-    def with_suspects(self, key: str) -> set[Incarnation]:
+    def engines_with_suspects(self, key: str) -> set[Incarnation]:
         """
         Return the engines at which this node runs suspects other than a request.
 
@@ -199,7 +203,7 @@
         }
 
     @contextmanager
-    def running(self, engine: Incarnation, key: str) -> Iterator[RunAtEngine]:
+    def track_run(self, engine: Incarnation, key: str) -> Iterator[EngineRun]:
         """
         Track a request while it is at an engine.
         """
@@ -250,7 +254,7 @@
                 count = min(len(self._pending), _MAX_RECORDS_PER_APPEND)
                 batch = [self._pending.popleft() for _ in range(count)]
                 records = [encode_record(record).encode() for record in batch]
-                await append_until_done(self._log, CONTROL_STREAM, records)
+                await append_until_acknowledged(self._log, CONTROL_STREAM, records)
 
     async def _check_engine(
         self, engine: EngineEntry, engine_runs: _EngineRuns
--- a/packages/saddledoord/src/saddledoord/serving/outcomes.py
+++ b/packages/saddledoord/src/saddledoord/serving/outcomes.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from saddledoor import (
-    AttemptEnd,
+    AttemptOutcome,
     EngineEntry,
     GatewayRoute,
     NotRun,
@@ -16,7 +16,7 @@
 )
 
 from ..ports import EngineAnswer, UnusableAnswer
-from .engine_ends import RunAtEngine
+from .engine_crash_watch import EngineRun
 
 
 __all__ = ["Outcome", "attempt_end", "describe", "is_final", "record_run"]
@@ -43,14 +43,14 @@
     """
     match outcome:
         case EngineAnswer():
-            run.survived()
+            run.record_completed()
         case NotRun():
-            run.not_run()
+            run.record_not_started()
         case UnusableAnswer():
             # The engine answered, so it need not be checked for a crash.
             pass
         case OutcomeUnknown():
-            run.broke_off(engine)
+            run.record_interrupted(engine)
 
 
 def attempt_end(outcome: Outcome) -> AttemptEnd:
@@ -59,13 +59,13 @@
     """
     match outcome:
         case EngineAnswer():
-            return AttemptEnd.FAILED
+            return AttemptOutcome.FAILED
         case NotRun():
-            return AttemptEnd.NOT_RUN
+            return AttemptOutcome.NOT_RUN
         case UnusableAnswer():
-            return AttemptEnd.UNUSABLE
+            return AttemptOutcome.UNUSABLE
         case OutcomeUnknown():
-            return AttemptEnd.BROKEN
+            return AttemptOutcome.BROKEN
 
 
 def describe(outcome: Outcome) -> str:
--- a/packages/saddledoord/src/saddledoord/serving/pass_through.py
+++ b/packages/saddledoord/src/saddledoord/serving/pass_through.py
@@ -14,22 +14,22 @@
 import structlog
 
 from saddledoor import (
-    AttemptEnd,
+    AttemptOutcome,
     EngineAttempt,
     EngineAttempts,
     EngineEntry,
     GatewayRoute,
     NotRun,
     OutcomeUnknown,
+    PoisonStatus,
     ResultCode,
     RouteKind,
-    Standing,
     request_key,
     time_left,
 )
 
 from .._clock import boot_time
-from ..cluster.lives import EngineLives
+from ..cluster.engine_timeouts import EngineTimeouts
 from ..cluster.view import ClusterView
 from ..ports import EngineAnswer, Engines, ForwardedRequest
 from .admission import Admission
@@ -114,7 +114,7 @@
         self._read_delay = held_up
 
     async def serve(
-        self, request: ForwardedRequest, patience: float | None, key: str = ""
+        self, request: ForwardedRequest, caller_timeout: float | None, key: str = ""
     ) -> Outcome:
         """
         Serve one request.
@@ -187,7 +187,7 @@
             route,
             request,
             deadline,
-            heard,
+            on_outcome,
             key,
             service,
             attempts,
@@ -269,7 +269,7 @@
         tasks = list(current.engines)
         for task in tasks[: tasks.index(winner)]:
             if task in pending:
-                self._pool.overtaken(current.engines[task])
+                self._pool.record_overtaken(current.engines[task])
 
     def _may_hedge(self, current: RequestState) -> bool:
         """
@@ -290,7 +290,7 @@
             return min(left, _POLL_INTERVAL)
         if not self._may_hedge(current):
             return left
-        if not current.attempts.may_go_on():
+        if not current.attempts.may_try_another_engine():
             return left
         return min(left, current.route.objective * _HEDGE_AFTER)
 
@@ -328,7 +328,7 @@
                 current.first_start.confirm(sent_at)
                 self._pool.answered(engine)
             case NotRun():
-                self._pool.refused(engine)
+                self._pool.record_refusal(engine)
             case OutcomeUnknown():
                 current.first_start.assume(sent_at)
                 self._pool.failed(engine)
--- a/packages/saddledoord/src/saddledoord/serving/pool.py
+++ b/packages/saddledoord/src/saddledoord/serving/pool.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from saddledoor import Candidate, Choose, EngineEntry, Incarnation
+from saddledoor import Candidate, EngineEntry, Incarnation, RoutingPolicy
 
 from .._clock import boot_time
 from ..cluster.view import ClusterView
 
 
-__all__ = ["EnginePool", "Place"]
+__all__ = ["EnginePool", "Reservation"]
 
 #: First and longest backoff of an engine that refused a kind of request, in seconds;
 #: doubled with each refusal. Loading weights is the usual reason.
@@ -32,7 +32,7 @@
 _OVERTAKEN_PENALTY = 4.0
 
 
-class Place:
+class Reservation:
     """
     A slot of an engine that is reserved for one request.
 
@@ -50,7 +50,7 @@
         if on_release is not None:
             on_release()
 
-    def __enter__(self) -> Place:
+    def __enter__(self) -> Reservation:
         return self
 
     def __exit__(self, *exc_info) -> None:
@@ -121,7 +121,7 @@
     :param choose: Routing policy that chooses among candidates.
     """
 
-    def __init__(self, view: ClusterView, choose: Choose) -> None:
+    def __init__(self, view: ClusterView, choose: RoutingPolicy) -> None:
         self._view = view
         self._choose = choose
         self._usage_by_engine = view.memory.table(_EngineUsage)
@@ -179,7 +179,7 @@
         """
         self._usage(engine).retry_at = boot_time() + _RETRY_INTERVAL
 
-    def with_room(self, service: str, kind: str) -> list[EngineEntry]:
+    def with_free_slots(self, service: str, kind: str) -> list[EngineEntry]:
         """
         Return the engines that have more slots than requests of this node in flight,
         and that accept requests of a kind.
@@ -192,13 +192,13 @@
             and self._is_eligible(engine, kind, now)
         ]
 
-    def own(self, engine: EngineEntry) -> int:
+    def in_flight(self, engine: EngineEntry) -> int:
         """
         Return the number of requests that this node has in flight at an engine.
         """
         return self._usage(engine).own
 
-    def take(self, engine: EngineEntry, kind: str = "") -> Place:
+    def reserve(self, engine: EngineEntry, kind: str = "") -> Reservation:
         """
         Reserve a slot at an engine at once, so that the next choice counts it.
         """
@@ -209,7 +209,7 @@
             refusal.is_probing = True
         return Place(lambda: _release(usage, refusal))
 
-    def answered(self, engine: EngineEntry, kind: str = "") -> None:
+    def record_success(self, engine: EngineEntry, kind: str = "") -> None:
         """
         Record an answer, which ends the backoff of an engine for a kind of request.
         """
@@ -219,7 +219,7 @@
         usage.backoff_until = 0.0
         usage.retry_at = 0.0
 
-    def refused(self, engine: EngineEntry, kind: str = "") -> None:
+    def record_refusal(self, engine: EngineEntry, kind: str = "") -> None:
         """
         Record that an engine refused a request of a kind.
         """
@@ -228,13 +228,13 @@
         refusal.count += 1
         refusal.until = boot_time() + backoff
 
-    def overtaken(self, engine: EngineEntry) -> None:
+    def record_overtaken(self, engine: EngineEntry) -> None:
         """
         Record that another engine got a request later and answered it first.
         """
         self._usage(engine).overtaken_until = boot_time() + _OVERTAKEN_PENALTY
 
-    def failed(self, engine: EngineEntry) -> None:
+    def record_failure(self, engine: EngineEntry) -> None:
         """
         Record that an engine gave no usable answer.
         """
--- a/packages/saddledoord/src/saddledoord/serving/silence.py
+++ b/packages/saddledoord/src/saddledoord/serving/unresponsive_engines.py
@@ -10,13 +10,13 @@
 
 import structlog
 
-from saddledoor import EngineEntry, EngineMemory, Incarnation
+from saddledoor import EngineEntry, EngineTables, Incarnation
 
 from .._clock import boot_time
 from ..ports import Engines
 
 
-__all__ = ["SilentEngines"]
+__all__ = ["UnresponsiveEngines"]
 
 _log = structlog.get_logger()
 
@@ -27,7 +27,7 @@
 _PROBE_LIMIT = 10.0
 
 
-class SilentEngines:
+class UnresponsiveEngines:
     """
     Probes engines that have failed, and excludes them until they report their state.
 
@@ -35,11 +35,11 @@
     engine has to wait for a timeout.
     """
 
-    def __init__(self, engines: Engines, memory: EngineMemory) -> None:
+    def __init__(self, engines: Engines, engine_tables: EngineTables) -> None:
         self._engines = engines
         self._probes = memory.table(set, _cancel)
 
-    def note(self, engine: EngineEntry) -> None:
+    def probe(self, engine: EngineEntry) -> None:
         """
         Exclude an engine until it answers a probe.
         """
@@ -56,7 +56,7 @@
         started_at = boot_time()
         while boot_time() < started_at + _PROBE_LIMIT:
             state = await self._engines.state(engine)
-            if state is not None and state.is_of(engine):
+            if state is not None and state.belongs_to(engine):
                 break
             await asyncio.sleep(_PROBE_INTERVAL)
         _log.info(
--- a/tests/end_watches.py
+++ b/tests/crash_watches.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Callable
 
-from saddledoor import EngineEnded, RequestsCleared, encode_record
+from saddledoor import EngineCrashed, RequestsCleared, encode_record
 from saddledoord._clock import boot_time
 from saddledoord.cluster.view import ClusterView
 from saddledoord.ports import Appended
-from saddledoord.serving.engine_ends import EngineEndWatch
+from saddledoord.serving.engine_crash_watch import EngineCrashWatch
 
 
 __all__ = ["FakeControlLog", "make_end_watch"]
@@ -22,7 +22,7 @@
     def __init__(self, gone: bool) -> None:
         self._gone = gone
 
-    async def is_gone(self, engine) -> bool:
+    async def has_exited(self, engine) -> bool:
         return self._gone
 
 
@@ -50,7 +50,7 @@
         self.last_read_at = boot_time()
         return True
 
-    async def append(self, stream, records, patience=1.0) -> Appended:
+    async def append(self, stream, records, answer_timeout=1.0) -> Appended:
         self.records += records
         return Appended(0)
 
--- a/tests/function_engines.py
+++ b/tests/function_engines.py
@@ -8,12 +8,12 @@
 
 from collections.abc import Awaitable, Callable
 
-from end_watches import make_end_watch
+from crash_watches import make_crash_watch
 
 from builders import make_engine_entry, make_gateway_config
-from saddledoor import EngineEntry, GatewayRoute, KeyBounds, least_outstanding
+from saddledoor import EngineEntry, GatewayRoute, KeyFreshnessBounds, least_outstanding
 from saddledoord._clock import boot_time
-from saddledoord.cluster.lives import EngineLives
+from saddledoord.cluster.engine_timeouts import EngineTimeouts
 from saddledoord.cluster.view import ClusterView
 from saddledoord.ports import ForwardedRequest, KeyedEntry
 from saddledoord.serving.admission import Admission
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -16,7 +16,7 @@
 
 from saddledoord import _clock
 from saddledoord._clock import BootTimeLoop, run_by_boot_time
-from saddledoord.standstills import Looks, Standstills
+from saddledoord.process_pauses import ProcessPauses, ShutdownPoll
 
 
 class _Vm:
@@ -47,7 +47,7 @@
     :param limit: The timeout, in seconds.
     :param suspended: Duration of the suspension, in seconds.
     """
-    standstills = asyncio.create_task(Standstills(vm.boot_time).run())
+    standstills = asyncio.create_task(ProcessPauses(vm.boot_time).run())
     await asyncio.sleep(0.05)
 
     async def suspend() -> float:
--- a/tests/test_engine_end_watch.py
+++ b/tests/test_engine_crash_watch.py
@@ -12,12 +12,12 @@
 from end_watches import FakeControlLog, make_end_watch
 
 from builders import make_engine_entry
-from saddledoor import EngineEnded, RequestsCleared, Standing
+from saddledoor import EngineCrashed, PoisonStatus, RequestsCleared
 from saddledoord._clock import boot_time
 from saddledoord.cluster.view import ClusterView
 from saddledoord.ports import KeyedEntry
-from saddledoord.serving import engine_ends
-from saddledoord.serving.engine_ends import EngineEndWatch
+from saddledoord.serving import engine_crash_watch
+from saddledoord.serving.engine_crash_watch import EngineCrashWatch
 
 
 class _Node:
@@ -44,8 +44,8 @@
         for run in runs:
             run.__exit__(None, None, None)
 
-    def standings(self, *keys: str) -> list[Standing]:
-        return [self.watch.standing(key) for key in keys]
+    def standings(self, *keys: str) -> list[PoisonStatus]:
+        return [self.watch.poison_status(key) for key in keys]
 
     async def flush(self) -> None:
         """
@@ -98,8 +98,8 @@
     async def scenario() -> list[Standing]:
         node = _Node()
         engine = make_engine_entry("engine-0")
-        with node.watch.running(engine.incarnation, "a") as run:
-            run.broke_off(engine)
+        with node.watch.track_run(engine.incarnation, "a") as run:
+            run.record_interrupted(engine)
             return node.standings("a", "b")
 
     assert asyncio.run(scenario()) == [Standing.SUSPECT, Standing.FREE]
@@ -114,7 +114,7 @@
         node = _Node(gone=False)
         first = make_engine_entry("engine-0", started_at=1)
         node.view.apply_engine(KeyedEntry("engine-0", 0, first))
-        with node.watch.running(first.incarnation, "a"):
+        with node.watch.track_run(first.incarnation, "a"):
             second = make_engine_entry("engine-0", started_at=2)
             node.view.apply_engine(KeyedEntry("engine-0", 1, second))
         return node.standings("a")
@@ -131,9 +131,9 @@
     async def scenario() -> list[Standing]:
         node = _Node()
         engine = make_engine_entry("engine-0")
-        with node.watch.running(engine.incarnation, "a") as run:
+        with node.watch.track_run(engine.incarnation, "a") as run:
             await asyncio.sleep(0.1)
-            run.broke_off(engine)
+            run.record_interrupted(engine)
             await asyncio.sleep(0.01)
         return node.standings("a")
 
@@ -164,7 +164,7 @@
     """
     monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
     slept = 0.0
-    monkeypatch.setattr(engine_ends, "boot_time", lambda: boot_time() + slept)
+    monkeypatch.setattr(engine_crash_watch, "boot_time", lambda: boot_time() + slept)
 
     async def scenario() -> list[Standing]:
         nonlocal slept
@@ -178,7 +178,7 @@
     assert asyncio.run(scenario()) == [Standing.SUSPECT]
 
 
-@pytest.mark.parametrize("end", ["survived", "not_run"])
+@pytest.mark.parametrize("end", ["record_completed", "record_not_started"])
 def test_what_the_engine_answered_before_its_end_is_not_blamed(end):
     """
     Neither a request that completed before the crash nor one that was refused.
@@ -186,7 +186,9 @@
 
     async def scenario() -> list[Standing]:
         node = _Node()
-        with node.watch.running(make_engine_entry("engine-0").incarnation, "a") as run:
+        with node.watch.track_run(
+            make_engine_entry("engine-0").incarnation, "a"
+        ) as run:
             getattr(run, end)()
         await node.interrupt(0, "b")
         return node.standings("a", "b")
@@ -201,7 +203,7 @@
 
     async def scenario() -> list[Standing]:
         node = _Node()
-        with node.watch.running(make_engine_entry("engine-0").incarnation, "a"):
+        with node.watch.track_run(make_engine_entry("engine-0").incarnation, "a"):
             pass
         await node.interrupt(0, "b")
         return node.standings("a", "b")
@@ -233,7 +235,7 @@
         node = _Node(control_log=FakeControlLog(last_read_at=boot_time() - 5.0))
         node.control_log.unread = [EngineEnded(f"e-{n}", 1, ("a",)) for n in range(3)]
         assert not node.watch.is_current()
-        await node.watch.ask()
+        await node.watch.refresh()
         assert node.watch.is_current()
         return node.standings("a")
 
--- a/tests/test_pass_through.py
+++ b/tests/test_pass_through.py
@@ -15,7 +15,7 @@
 from builders import make_engine_entry, make_request, make_route
 from saddledoor import OutcomeUnknown, RouteKind, ScoreCall
 from saddledoord._clock import boot_time
-from saddledoord.jobs.scoring import ScoreImpossibleError, Scorer
+from saddledoord.jobs.scoring import Scorer, ScoringFailedError
 from saddledoord.ports import EngineAnswer
 
 
@@ -123,7 +123,7 @@
     assert engines.called == ["desk-0", "desk-1"]
     # The policy takes the first of equal engines, unless it is chosen after the others.
     assert pool.choose("desk").engine_id == next_choice
-    with pool.take(make_engine_entry("desk-0")):
+    with pool.reserve(make_engine_entry("desk-0")):
         assert pool.choose("desk").engine_id == "desk-1"
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -68,7 +68,7 @@
     The other items wait for its result.
     """
     pool, engine = _pool()
-    pool.refused(engine, "model-a")
+    pool.record_refusal(engine, "model-a")
     monkeypatch.setattr("saddledoord.serving.pool.boot_time", lambda: 1e9)
     assert _has_free_slot(pool, engine, "model-a")
     with pool.take(engine, "model-a"):
@@ -81,7 +81,7 @@
     A backoff does not leave a request without an engine.
     """
     pool, engine = _pool()
-    pool.refused(engine)
+    pool.record_refusal(engine)
     assert pool.choose(engine.service) == engine
 
 
@@ -91,11 +91,11 @@
     """
     pool, slow, other = _pool_of_two()
     assert pool.choose("desk") == slow
-    pool.overtaken(slow)
+    pool.record_overtaken(slow)
     assert pool.choose("desk") == other
-    pool.failed(other)
+    pool.record_failure(other)
     assert pool.choose("desk") == slow
     now = boot_time()
     monkeypatch.setattr("saddledoord.serving.pool.boot_time", lambda: now + 5.0)
-    pool.answered(other)
+    pool.record_success(other)
     assert pool.choose("desk") == slow
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -13,14 +13,20 @@
 from fake_log import FakeLog
 
 from builders import make_job
-from saddledoor import ItemListed, ItemResult, JobBook, StoredText, encode_job_record
+from saddledoor import (
+    ItemResult,
+    ItemResultRecorded,
+    JobFold,
+    StoredText,
+    encode_job_record,
+)
 from saddledoord._clock import boot_time
-from saddledoord.cluster.changes import Changes
+from saddledoord.cluster.change_notifier import ChangeNotifier
 from saddledoord.cluster.follow import LogFollower
 from saddledoord.cluster.store_watch import StoreWatch, WatchedLog
-from saddledoord.jobs.service import Accepted, JobReading, JobService
+from saddledoord.jobs.service import Accepted, JobResultsPage, JobService
 from saddledoord.jobs.texts import TextStore
-from saddledoord.ports import LogPage, StoreAwayError
+from saddledoord.ports import LogPage, StoreUnavailableError
 
 
 #: Bandwidth of the store to all nodes together and to one node, in bytes a second.
@@ -134,7 +140,7 @@
                 reading = await jobs.read(job_id, 0, 0.0)
         except TimeoutError:
             continue
-        if isinstance(reading, JobReading) and reading.results:
+        if isinstance(reading, JobResultsPage) and reading.results:
             break
         await asyncio.sleep(0.1)
     return boot_time() - started_at
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -12,7 +12,7 @@
 from fake_log import FakeLog
 
 from saddledoord.cluster.store_watch import StoreWatch, WatchedLog
-from saddledoord.ports import Appended, StoreAwayError, UnknownAppend
+from saddledoord.ports import Appended, AppendOutcomeUnknown, StoreUnavailableError
 
 
 class _SilentLog(FakeLog):
@@ -24,15 +24,17 @@
         super().__init__()
         self.silent = silent
 
-    async def append(self, stream, records, patience=1.5):
+    async def append(self, stream, records, answer_timeout=1.5):
         if stream in self.silent:
             await asyncio.sleep(3600)
-        return await super().append(stream, records, patience)
+        return await super().append(stream, records, answer_timeout)
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
         if stream in self.silent:
             await asyncio.sleep(3600)
-        return await super().read(stream, start, wait, largest, patience)
+        return await super().read(stream, start, wait, max_bytes, answer_timeout)
 
 
 class _WatchedStore:
--- a/tests/test_silence.py
+++ b/tests/test_unresponsive_engines.py
@@ -9,9 +9,9 @@
 import asyncio
 
 from builders import make_engine_entry
-from saddledoor import EngineMemory, Incarnation
+from saddledoor import EngineTables, Incarnation
 from saddledoord.ports import EngineState
-from saddledoord.serving.silence import SilentEngines
+from saddledoord.serving.unresponsive_engines import UnresponsiveEngines
 
 
 class _Engines:
