--- a/packages/saddledoord/src/saddledoord/_clock.py
+++ b/packages/saddledoord/src/saddledoord/_clock.py
@@ -30,7 +30,7 @@
 
     The clock of the default loop stops during a suspension, so its timers would fire
     late. The timeout of the selector stops, too: a timer that became due fires at the
-    first event after the suspension, at the latest at the heartbeat of `Standstills`.
+    first event after the suspension, at the latest at the heartbeat of `ProcessPauses`.
     """
 
     def time(self) -> float:
--- a/packages/saddledoord/src/saddledoord/_daemon.py
+++ b/packages/saddledoord/src/saddledoord/_daemon.py
@@ -114,13 +114,13 @@
             return
         # A VM without one of its loops is stopped; other VMs take over.
         _log.error("task_failed", exc_info=task.exception())
-        self._state.drain.tell(boot_time())
+        self._state.drain.request_stop(boot_time())
         self._stop_requested.set()
 
     def _handle_signals(self) -> None:
         def on_signal() -> None:
-            self._state.drain.tell(boot_time())
-            if self._state.drain.told_again:
+            self._state.drain.request_stop(boot_time())
+            if self._state.drain.stop_requested_twice:
                 self._second_stop_requested.set()
             self._stop_requested.set()
 
@@ -155,9 +155,11 @@
         await keeper.until_taken(handed_over, _TAKEOVER_WAIT)
         drain.handed_over = True
         # Requests that arrived meanwhile are answered, too.
-        polls = Looks()
+        polls = ShutdownPoll()
         await asyncio.sleep(_DRAIN_POLL_INTERVAL)
-        while not (polls.is_on_time() and drain.may_stop(boot_time(), in_flight.count)):
+        while not (
+            polls.polled_recently() and drain.may_stop(boot_time(), in_flight.count)
+        ):
             await asyncio.sleep(_DRAIN_POLL_INTERVAL)
 
     def _successor(self) -> str | None:
--- a/packages/saddledoord/src/saddledoord/_pipeline.py
+++ b/packages/saddledoord/src/saddledoord/_pipeline.py
@@ -248,11 +248,11 @@
             return spent
         try:
             return await self._peers.call(address, work, work.timeout_s + 1) or spent
-        except PeerAwayError as error:
+        except PeerUnavailableError as error:
             # Retrying with the same key is safe: its issuer tracks whether it was used.
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, str(error))
 
-    def _known_peer(self, decider: str) -> str | None:
+    def _known_peer(self, issuer: str) -> str | None:
         # The key came from a caller, so its address must be one of a known peer.
         try:
             address = bytes.fromhex(issuer).decode().partition("@")[2]
--- a/packages/saddledoord/src/saddledoord/cluster/engine_timeouts.py
+++ b/packages/saddledoord/src/saddledoord/cluster/engine_timeouts.py
@@ -28,7 +28,7 @@
 
     def __init__(self, view: ClusterView) -> None:
         self._view = view
-        self._timeouts = view.memory.table(set, _expire)
+        self._timeouts = view.engine_tables.table(set, _expire)
 
     @asynccontextmanager
     async def within(
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -62,7 +62,7 @@
         self._is_reachable = True
 
     @property
-    def reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         return self._is_reachable
 
     def answered(self) -> None:
@@ -98,8 +98,8 @@
     :param on_reachable: Called with false when the store becomes unavailable, and with
         true when it answers again.
     :param wait: How long a read waits at the store for new records, in seconds.
-    :param patience: Longest wait for an answer beyond that, in seconds.
-    :param gather: Returns the pause after new records, in seconds, in which
+    :param answer_timeout: Longest wait for an answer beyond that, in seconds.
+    :param batch_delay: Returns the pause after new records, in seconds, in which
         further records are collected.
     """
 
@@ -110,18 +110,18 @@
         apply: Callable[[int, bytes], None],
         on_reachable: Callable[[bool], None] = _ignore,
         wait: float = _READ_WAIT,
-        patience: float = USUAL_PATIENCE,
-        gather: Callable[[], float] = _no_delay,
+        answer_timeout: float = DEFAULT_ANSWER_TIMEOUT,
+        batch_delay: Callable[[], float] = _no_delay,
     ) -> None:
         self._wait = wait
-        self._batch_delay = gather
-        self._patience = patience
+        self._batch_delay = batch_delay
+        self._patience = answer_timeout
         self._log = log
         self._stream = stream
         self._apply = apply
         self._next = 0
         self._skipped = 0
-        self._page_size = PageSize(LARGEST_PAGE)
+        self._page_size = PageSize(MAX_PAGE_BYTES)
         self._reachability = _Reachability(stream, on_reachable)
         self._caught_up = asyncio.Event()
         self._started_at = boot_time()
@@ -134,7 +134,7 @@
         """
         Whether the store answered the last read.
         """
-        return self._reachability.reached
+        return self._reachability.is_store_reachable
 
     @property
     def skipped(self) -> int:
@@ -173,7 +173,7 @@
             started_at = boot_time()
             try:
                 page = await self._read_next()
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 self._reachability.failed(str(error))
                 await asyncio.sleep(_RETRY_PAUSE)
                 continue
@@ -198,7 +198,7 @@
                 try:
                     started_at = boot_time()
                     self._apply_page(await self._read(0.0, self._patience), started_at)
-                except StoreAwayError:
+                except StoreUnavailableError:
                     return False
         return True
 
@@ -216,11 +216,11 @@
     async def _read_next(self) -> LogPage:
         if not self.caught_up:
             return await self._read(0.0, _REPLAY_ANSWER_TIMEOUT)
-        if not self.reached:
+        if not self.is_store_reachable:
             return await self._read(0.0, _OUTAGE_ANSWER_TIMEOUT)
         return await self._read(self._wait, self._patience)
 
-    async def _read(self, wait: float, patience: float) -> LogPage:
+    async def _read(self, wait: float, answer_timeout: float) -> LogPage:
         started_at = boot_time()
         try:
             page = await self._page(wait, answer_timeout)
@@ -337,7 +337,7 @@
             started_at = boot_time()
             try:
                 page = await self._page()
-            except StoreAwayError as error:
+            except StoreUnavailableError as error:
                 self._reachability.failed(str(error))
                 # Entries may expire unseen during an outage: read all of them after it.
                 self._next = None
@@ -355,7 +355,7 @@
             return await self._registry.newest()
         try:
             return await self._registry.changes(self._next, _READ_WAIT)
-        except LogGoneError as error:
+        except LogTruncatedError as error:
             _log.warning("records_gone", reading=self._name, first=error.first)
             return await self._registry.newest()
 
--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -56,7 +56,7 @@
         self._fold = LeaseFold()
         self._watches: dict[str, LeaseWatch] = {}
         self._regained_at = float("-inf")
-        self._changes = Changes()
+        self._changes = ChangeNotifier()
         self._on_other_record: Callable[[object], None] = lambda record: None
         self._follower = LogFollower(
             log,
@@ -194,7 +194,7 @@
             return False
         renewed = [self._fold.leases[lease.name] for lease in held]
         return all(
-            lease.fence == before.fence and lease.last >= outcome.offset
+            lease.fence == before.fence and lease.last_offset >= outcome.offset
             for before, lease in zip(held, renewed, strict=True)
         )
 
@@ -220,6 +220,6 @@
             watch.observe(self.get(name), boot_time())
         self._changes.notify(CONTROL_STREAM)
 
-    def _on_store_reachable(self, reached: bool) -> None:
-        if reached:
+    def _on_store_reachable(self, is_store_reachable: bool) -> None:
+        if is_store_reachable:
             self._regained_at = boot_time()
--- a/packages/saddledoord/src/saddledoord/cluster/store_watch.py
+++ b/packages/saddledoord/src/saddledoord/cluster/store_watch.py
@@ -84,7 +84,8 @@
         Make a call and return its answer.
 
         :param wait: How long the store may delay its answer, in seconds.
-        :raises StoreAwayError: If the call raises it or was cancelled as overdue.
+        :raises StoreUnavailableError: If the call raises it or was cancelled for being
+            overdue.
         """
         pending = _Call(asyncio.ensure_future(call), boot_time() + wait)
         self._calls.add(pending)
@@ -93,7 +94,9 @@
         except asyncio.CancelledError:
             cancel_requests = asyncio.current_task().cancelling()
             if pending.is_cancelled and not cancel_requests:
-                raise StoreAwayError("silent while other calls are answered") from None
+                raise StoreUnavailableError(
+                    "silent while other calls are answered"
+                ) from None
             raise
         finally:
             self._calls.discard(pending)
@@ -130,10 +133,10 @@
         """
         try:
             outcome = await self._watch.call(
-                self._log.append(stream, records, patience)
+                self._log.append(stream, records, answer_timeout)
             )
-        except StoreAwayError as error:
-            return UnknownAppend(str(error))
+        except StoreUnavailableError as error:
+            return AppendOutcomeUnknown(str(error))
         if isinstance(outcome, Appended):
             self._watch.record_answer()
         return outcome
@@ -149,9 +152,9 @@
         """
         See `SharedLog.read`.
         """
-        call = self._log.read(stream, start, wait, largest, patience)
+        call = self._log.read(stream, start, wait, max_bytes, answer_timeout)
         # A longer answer timeout than the default means that a large page is expected.
-        expected = wait + max(0.0, patience - USUAL_PATIENCE)
+        expected = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)
         page = await self._watch.call(call, expected)
         self._watch.record_answer()
         return page
--- a/packages/saddledoord/src/saddledoord/cluster/view.py
+++ b/packages/saddledoord/src/saddledoord/cluster/view.py
@@ -44,7 +44,7 @@
     State that is derived from the operator's registry and the engines' entries.
 
     :ivar directory: The engines that have an entry.
-    :ivar memory: State of engines that is dropped when an incarnation ends.
+    :ivar engine_tables: State of engines that is dropped when an incarnation ends.
     :ivar changed: Set at each change.
     """
 
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -77,9 +77,9 @@
     :param lease_term: Term of the lease for orders, in seconds.
     :param largest_record: Largest record of the log, in bytes.
     :param largest_append: Largest append to the log, in bytes.
-    :param cancel_time: Time after the end of a job from which none of its items may be
+    :param cancel_limit: Time after the end of a job from which none of its items may be
         sent to an engine, in seconds.
-    :param read_for: Age up to which an ended job may be read, in seconds.
+    :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log keeps records, in seconds.
     :param key_bounds: Freshness limits of what is known of keys.
     :param usage: Windows of the usage that is reported; None if no usage is reported.
@@ -133,7 +133,7 @@
     ) -> None:
         self._stopping = False
         self._tasks: list[asyncio.Task] = []
-        self._standstills = ProcessPauses()
+        self._process_pauses = ProcessPauses()
         self.view = ClusterView()
         view = self.view
         self._store = StoreWatch(ports.reconnect)
@@ -150,14 +150,14 @@
             view.retain_engines,
             view.store_reached,
         )
-        pool = EnginePool(self.view, own_order(settings.vm))
-        timeouts = EngineLives(self.view)
+        pool = EnginePool(self.view, least_outstanding_rendezvous(settings.vm))
+        timeouts = EngineTimeouts(self.view)
         self.admission = Admission(
             view, lambda: self._operator.synced_at, settings.key_bounds
         )
         self._leases = LeaseLog(log, f"{settings.vm}@{settings.address}")
-        self._crash_watch = EngineEndWatch(
-            ports.engines, self.view.memory, self._leases, log
+        self._crash_watch = EngineCrashWatch(
+            ports.engines, self.view.engine_tables, self._leases, log
         )
         self.pass_through = PassThrough(
             self.view,
@@ -168,13 +168,13 @@
             self.admission,
             record_request,
             self._count_usage,
-            self._standstills.read_delay,
+            self._process_pauses.read_delay,
         )
-        book = JobFold()
+        job_fold = JobFold()
         texts = TextStore(log, settings.largest_record, settings.largest_append)
         self.jobs = JobService(
             log,
-            book,
+            job_fold,
             texts,
             ChangeNotifier(),
             settings.result_retention,
@@ -190,17 +190,17 @@
             self._on_shares_changed,
             settings.cores,
         )
-        paces = EnginePaces(self.view.memory)
-        unresponsive = SilentEngines(ports.engines, self.view.memory)
+        paces = EnginePaces(self.view.engine_tables)
+        unresponsive = UnresponsiveEngines(ports.engines, self.view.engine_tables)
         placement = Placement(self.view, pool, paces, unresponsive)
-        self._known_ends = KnownEnds(self._log_view, settings.cancel_time)
+        self._log_freshness = LogFreshness(self._log_read_state, settings.cancel_limit)
         self._runner = JobRunner(
             self.jobs,
             self.view,
             pool,
             unresponsive,
             placement,
-            Attempts(ports.engines, paces, placement, timeouts, self._crash_watch),
+            AttemptRunner(ports.engines, paces, placement, timeouts, self._crash_watch),
             self._crash_watch,
             self._writer,
             texts,
@@ -222,8 +222,8 @@
             timeouts,
             self._lease,
             settings.vm,
-            self._keep_runs,
-            book.oldest_allowed,
+            self._may_retain_running,
+            job_fold.oldest_allowed,
         )
 
     @property
@@ -239,7 +239,7 @@
     @property
     def stopping(self) -> bool:
         """
-        Whether a planned stop has begun.
+        Whether a planned stop has started.
         """
         return self._stopping
 
@@ -261,7 +261,7 @@
         """
         Number of pauses of this process.
         """
-        return self._standstills.count
+        return self._process_pauses.count
 
     def set_bounds(
         self,
@@ -284,7 +284,7 @@
         :param failed: Called with the exception of a loop that failed.
         """
         loops: list[Coroutine] = [
-            self._standstills.run(),
+            self._process_pauses.run(),
             self._operator.run(),
             self._entries.run(),
             self.jobs.run(),
@@ -315,7 +315,7 @@
         """
         self._stopping = True
         started_at = boot_time()
-        while not await self.jobs.sync() and boot_time() < started_at + patience:
+        while not await self.jobs.sync() and boot_time() < started_at + store_timeout:
             await asyncio.sleep(_RETRY_PAUSE)
         self._runner.hand_over()
         flushed = await self._writer.flushed(_FLUSH_TIMEOUT)
@@ -350,7 +350,7 @@
         return LogReadState(
             self.jobs.synced_at,
             self.jobs.store_reached,
-            self._standstills.ended_at,
+            self._process_pauses.ended_at,
         )
 
     def _wanted_shares(self) -> set[str]:
@@ -378,7 +378,7 @@
         self.view.apply_engine(entry)
         self._wake()
 
-    def _keep_runs(self, model: str) -> bool:
+    def _may_retain_running(self, model: str) -> bool:
         """
         Whether no route of a model's jobs requires texts of a single version.
         """
--- a/packages/saddledoord/src/saddledoord/log/claims.py
+++ b/packages/saddledoord/src/saddledoord/log/claims.py
@@ -72,7 +72,8 @@
         """
         Release a key.
 
-        :raises LogAwayError: If it is not known whether the log appended the record.
+        :raises LogUnavailableError: If the log gave no usable answer; the release may
+            still have taken effect.
         """
         await self._log.append(self._stream, [record])
 
@@ -86,12 +87,12 @@
         claims = tuple(pending.claim for pending in batch)
         try:
             offset = await self._log.append(self._stream, [ClaimBatch(claims)])
-        except LogAwayError:
+        except LogUnavailableError:
             # The log may have appended it all the same, which only a read shows.
             offset = -1
         try:
             await self._catch_up(offset)
-        except LogAwayError:
+        except LogUnavailableError:
             for pending in batch:
                 _resolve(pending, None)
             return
--- a/packages/saddledoord/src/saddledoord/log/client.py
+++ b/packages/saddledoord/src/saddledoord/log/client.py
@@ -74,8 +74,8 @@
         Append records atomically.
 
         :returns: Offset of the first record.
-        :raises LogAwayError: If there was no usable answer; the append may still have
-            taken effect.
+        :raises LogUnavailableError: If there was no usable answer; the append may still
+            have taken effect.
         """
         body = {"records": [encode_record(record) for record in records]}
         self._metrics.log_appends.add(1, {"stream": stream.split("-")[0]})
@@ -87,7 +87,7 @@
         Read records from an offset.
 
         :param wait: How long the log may wait for a record, in seconds.
-        :raises LogAwayError: If the log gave no usable answer.
+        :raises LogUnavailableError: If the log gave no usable answer.
         """
         params = {"from": str(start), "wait": f"{wait:.2f}"}
         answer = await self._request("GET", stream, params=params, wait=wait)
--- a/packages/saddledoord/src/saddledoord/log/follower.py
+++ b/packages/saddledoord/src/saddledoord/log/follower.py
@@ -182,7 +182,7 @@
         try:
             await log.append(CONFIG_STREAM, [verdict])
             return
-        except LogAwayError:
+        except LogUnavailableError:
             await asyncio.sleep(_RETRY_PAUSE)
 
 
--- a/packages/saddledoord/src/saddledoord/ports/engines.py
+++ b/packages/saddledoord/src/saddledoord/ports/engines.py
@@ -54,7 +54,7 @@
     """
     The complete answer of a backend server.
 
-    :param mark: The server's signature of the answer; empty without one.
+    :param signature: The server's signature of the answer; empty without one.
     """
 
     status: int
@@ -96,13 +96,13 @@
     #: The engine reported that it did not start the item.
     NOT_STARTED = "not_started"
     #: The engine could not be connected to, so it has not run the item.
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     #: Another incarnation answers at the address.
-    MOVED = "moved"
+    WRONG_INCARNATION = "moved"
     #: The engine failed on the item, which counts as an attempt.
     FAILED = "failed"
     #: The item can never succeed.
-    IMPOSSIBLE = "impossible"
+    REJECTED = "impossible"
     #: The stream was interrupted, timed out or was invalid.
     BROKEN = "broken"
     #: No stream of the engine has events, and another engine has a free slot.
@@ -124,7 +124,7 @@
 
     :param versions: Weight versions in use, by model.
     :param busy: Whether an order is in progress.
-    :param orders_taken: Number of orders since its start.
+    :param accepted_orders: Number of orders accepted since its start.
     :param started_at: Start of its process, in Unix milliseconds; None if it does not
         report one.
     """
@@ -149,9 +149,9 @@
     """
     An order to use a version of a model.
 
-    :param orders_taken: Number of orders that the engine must have taken before.
-    :param keep_runs: Whether running requests continue with the new version; otherwise
-        they finish first.
+    :param accepted_orders: Number of orders that the engine must have accepted before.
+    :param retain_running: Whether running requests continue with the new version;
+        otherwise they finish first.
     """
 
     model: str
--- a/packages/saddledoord/src/saddledoord/ports/store.py
+++ b/packages/saddledoord/src/saddledoord/ports/store.py
@@ -33,9 +33,9 @@
 
 
 #: Default limit of the size of a page, in bytes.
-LARGEST_PAGE = 1_048_576
+MAX_PAGE_BYTES = 1_048_576
 #: Default limit of the wait for the answer to a read, in seconds.
-USUAL_PATIENCE = 1.0
+DEFAULT_ANSWER_TIMEOUT = 1.0
 
 
 class StoreUnavailableError(Exception):
@@ -132,10 +132,10 @@
         Read records from an offset.
 
         :param wait: How long the log may wait for a record, in seconds.
-        :param patience: Longest wait for the answer beyond that, in seconds.
-        :param largest: Largest size of the page, in bytes; one record may exceed it.
-        :raises StoreAwayError: If there was no usable answer.
-        :raises LogGoneError: If the records at the offset were dropped.
+        :param answer_timeout: Longest wait for the answer beyond that, in seconds.
+        :param max_bytes: Largest size of the page, in bytes; one record may exceed it.
+        :raises StoreUnavailableError: If there was no usable answer.
+        :raises LogTruncatedError: If the records at the offset were dropped.
         """
 
 
@@ -197,9 +197,9 @@
         """
         Read the changes from an offset.
 
-        :raises StoreAwayError: If there was no usable answer.
-        :raises LogGoneError: If the changes were dropped; `newest` still returns the
-            values.
+        :raises StoreUnavailableError: If there was no usable answer.
+        :raises LogTruncatedError: If the changes were dropped; `newest` still returns
+            the values.
         """
 
 
--- a/packages/saddledoord/src/saddledoord/serving/admission.py
+++ b/packages/saddledoord/src/saddledoord/serving/admission.py
@@ -41,7 +41,10 @@
     """
 
     def __init__(
-        self, view: ClusterView, synced_at: Callable[[], float], bounds: KeyBounds
+        self,
+        view: ClusterView,
+        synced_at: Callable[[], float],
+        bounds: KeyFreshnessBounds,
     ) -> None:
         self._view = view
         self._synced_at = synced_at
--- a/packages/saddledoord/src/saddledoord/serving/engine_choice.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_choice.py
@@ -26,7 +26,7 @@
     Chooses among the engines of a service for requests that cannot be queued.
     """
 
-    def __init__(self, pool: EnginePool, crash_watch: EngineEndWatch) -> None:
+    def __init__(self, pool: EnginePool, crash_watch: EngineCrashWatch) -> None:
         self._pool = pool
         self._crash_watch = crash_watch
 
@@ -55,7 +55,7 @@
         None.
         """
         now = boot_time()
-        eligible = {e for e, at in attempts.may_return_at().items() if at <= now}
+        eligible = {e for e, at in attempts.earliest_retry_times().items() if at <= now}
 
         def choose(excluded: Iterable[Incarnation]) -> EngineEntry | None:
             return self._pool.choose_again(service, eligible.difference(excluded))
@@ -69,8 +69,11 @@
         Return the earliest time at which an engine may receive the request again,
         monotonic, in seconds; None if none may.
         """
-        returns = attempts.may_return_at()
-        if not returns or self._crash_watch.standing(key) is Standing.BARRED:
+        returns = attempts.earliest_retry_times()
+        if (
+            not returns
+            or self._crash_watch.poison_status(key) is PoisonStatus.QUARANTINED
+        ):
             return None
         eligible_at = self._pool.eligible_at(service)
         times = [
@@ -79,12 +82,12 @@
         return min(times, default=None)
 
     def _choose_for(self, key: str, choose: _Choose) -> EngineEntry | None:
-        standing = self._crash_watch.standing(key)
-        if standing is Standing.BARRED:
+        poison_status = self._crash_watch.poison_status(key)
+        if poison_status is PoisonStatus.QUARANTINED:
             return None
-        if standing is Standing.FREE:
+        if poison_status is PoisonStatus.CLEAN:
             return choose(())
-        isolated = choose(self._crash_watch.with_suspects(key))
-        if isolated is not None or standing is Standing.UNCLEAR:
+        isolated = choose(self._crash_watch.engines_with_suspects(key))
+        if isolated is not None or poison_status is PoisonStatus.AMBIGUOUS:
             return isolated
         return choose(())
--- a/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
@@ -99,7 +99,7 @@
     """
 
     def __init__(
-        self, watch: EngineEndWatch, engine_runs: _EngineRuns, run: _Run
+        self, watch: EngineCrashWatch, engine_runs: _EngineRuns, run: _Run
     ) -> None:
         self._watch = watch
         self._engine_runs = engine_runs
@@ -146,8 +146,8 @@
         self._engines = engines
         self._leases = leases
         self._log = log
-        self._crashes = EngineEnds()
-        self._runs = memory.table(_EngineRuns, self._on_incarnation_ended)
+        self._crashes = EngineCrashFold()
+        self._runs = engine_tables.table(_EngineRuns, self._on_incarnation_ended)
         self._checks: dict[asyncio.Task, _EngineRuns] = {}
         self._pending = deque[_Record](maxlen=_MAX_PENDING_RECORDS)
         self._has_pending = asyncio.Event()
@@ -155,17 +155,17 @@
 
     def poison_status(self, key: str) -> PoisonStatus:
         """
-        Return the standing of a request.
+        Return the poison status of a request.
 
         :param key: As `request_key` returns it.
         """
         now = boot_time()
-        standing = self._crashes.standing(key, now)
-        if standing is Standing.BARRED:
-            self._publish(self._crashes.to_tell_again(key, now))
-        if standing is Standing.FREE and self._is_interrupted(key):
-            return Standing.SUSPECT
-        return standing
+        poison_status = self._crashes.poison_status(key, now)
+        if poison_status is PoisonStatus.QUARANTINED:
+            self._publish(self._crashes.crashes_to_republish(key, now))
+        if poison_status is PoisonStatus.CLEAN and self._is_interrupted(key):
+            return PoisonStatus.SUSPECT
+        return poison_status
 
     def is_current(self) -> bool:
         """
@@ -212,12 +212,12 @@
         run = _Run(key, boot_time())
         engine_runs.runs.add(run)
         timer = None
-        if self.standing(key) is not Standing.FREE:
+        if self.poison_status(key) is not PoisonStatus.CLEAN:
             timer = asyncio.get_running_loop().call_later(
                 _CRASH_WINDOW, self._check_survival, run
             )
         try:
-            yield RunAtEngine(self, engine_runs, run)
+            yield EngineRun(self, engine_runs, run)
         finally:
             run.finished_at = boot_time()
             self._drop_old_runs(engine_runs)
@@ -228,7 +228,7 @@
         """
         Clear a request of the crashes that it is suspected of.
         """
-        if self._crashes.speaks_against(key):
+        if self._crashes.is_implicated(key):
             self._publish([RequestsCleared((key,))])
 
     def check_engine(self, engine: EngineEntry, engine_runs: _EngineRuns) -> None:
@@ -259,7 +259,7 @@
     async def _check_engine(
         self, engine: EngineEntry, engine_runs: _EngineRuns
     ) -> None:
-        if await self._engines.is_gone(engine):
+        if await self._engines.has_exited(engine):
             self._close(engine_runs, engine_runs.interrupted_at or boot_time())
         # The next interruption starts a new check.
         engine_runs.interrupted_at = None
@@ -293,7 +293,7 @@
         _log.info("engine_ended", engine=engine_runs.engine.engine_id, requests=keys)
         self._publish(
             [
-                EngineEnded(
+                EngineCrashed(
                     engine_runs.engine.engine_id,
                     engine_runs.engine.started_at,
                     tuple(keys[first : first + _MAX_REQUESTS_PER_RECORD]),
@@ -333,7 +333,9 @@
     def _is_other_suspect(self, run: _Run, key: str) -> bool:
         if run.finished_at is not None or run.key == key:
             return False
-        return self._crashes.standing(run.key, boot_time()) is not Standing.FREE
+        return (
+            self._crashes.poison_status(run.key, boot_time()) is not PoisonStatus.CLEAN
+        )
 
     def _drop_old_runs(self, engine_runs: _EngineRuns) -> None:
         """
--- a/packages/saddledoord/src/saddledoord/serving/outcomes.py
+++ b/packages/saddledoord/src/saddledoord/serving/outcomes.py
@@ -37,7 +37,7 @@
             return route.kind is not RouteKind.SAFE
 
 
-def record_run(run: RunAtEngine, engine: EngineEntry, outcome: Outcome) -> None:
+def record_run(run: EngineRun, engine: EngineEntry, outcome: Outcome) -> None:
     """
     Record an outcome with the crash detection.
     """
@@ -53,7 +53,7 @@
             run.record_interrupted(engine)
 
 
-def attempt_end(outcome: Outcome) -> AttemptEnd:
+def attempt_end(outcome: Outcome) -> AttemptOutcome:
     """
     Return how an attempt ended whose outcome is not final.
     """
--- a/packages/saddledoord/src/saddledoord/serving/pass_through.py
+++ b/packages/saddledoord/src/saddledoord/serving/pass_through.py
@@ -34,7 +34,7 @@
 from ..ports import EngineAnswer, Engines, ForwardedRequest
 from .admission import Admission
 from .engine_choice import EngineChoice
-from .engine_ends import EngineEndWatch
+from .engine_crash_watch import EngineCrashWatch
 from .outcomes import Outcome, attempt_end, describe, is_final, record_run
 from .pool import EnginePool
 from .request_state import FirstStart, RequestState
@@ -95,12 +95,12 @@
         view: ClusterView,
         pool: EnginePool,
         engines: Engines,
-        timeouts: EngineLives,
-        crash_watch: EngineEndWatch,
+        timeouts: EngineTimeouts,
+        crash_watch: EngineCrashWatch,
         admission: Admission,
         record_request: Callable[[str, ResultCode, float], None],
         on_start: Callable[[str, float], None] = _ignore_start,
-        held_up: Callable[[], float] = _no_delay,
+        read_delay: Callable[[], float] = _no_delay,
     ) -> None:
         self._admission = admission
         self._on_start = on_start
@@ -111,7 +111,7 @@
         self._pool = pool
         self._engines = engines
         self._record_request = record_request
-        self._read_delay = held_up
+        self._read_delay = read_delay
 
     async def serve(
         self, request: ForwardedRequest, caller_timeout: float | None, key: str = ""
@@ -119,11 +119,11 @@
         """
         Serve one request.
 
-        :param patience: How long the caller waits for the answer, in seconds; None if
-            it did not say.
+        :param caller_timeout: How long the caller waits for the answer, in seconds;
+            None if it gave no time.
         :param key: The caller's key; empty without one.
         """
-        started_at, held_up = boot_time(), self._read_delay()
+        started_at, read_delay = boot_time(), self._read_delay()
         if self._view.config is None:
             return NotRun(ResultCode.NO_CONFIGURATION, "no configuration", _RETRY_AFTER)
         route = self._view.route(request.host, request.target.partition("?")[0])
@@ -135,7 +135,7 @@
                 configuration=self._view.config.version,
             )
             return NotRun(ResultCode.UNKNOWN_TARGET, "no route", _RETRY_AFTER)
-        admitted = self._admission.to_route(route, key, request.request_id)
+        admitted = self._admission.admit_request(route, key, request.request_id)
         if isinstance(admitted, NotRun):
             self._record_request(route.name, admitted.code, boot_time() - started_at)
             return admitted
@@ -144,8 +144,12 @@
             repeatable=route.kind is RouteKind.SAFE,
             workspace=admitted.workspace,
         )
-        limit = route.timeout if patience is None else min(patience, route.timeout)
-        time_limit = time_left(limit, route.objective, held_up)
+        limit = (
+            route.timeout
+            if caller_timeout is None
+            else min(caller_timeout, route.timeout)
+        )
+        time_limit = time_left(limit, route.objective, read_delay)
         first_start = FirstStart()
         try:
             outcome = await self.run(
@@ -164,7 +168,7 @@
         route: GatewayRoute,
         request: ForwardedRequest,
         deadline: float,
-        heard: Callable[[Outcome], None] = _ignore_outcome,
+        on_outcome: Callable[[Outcome], None] = _ignore_outcome,
         name: str = "",
         may_begin: Callable[[], bool] = _always_true,
         first_start: FirstStart | None = None,
@@ -173,7 +177,7 @@
         Run a request of a route until it is answered or its deadline has passed.
 
         :param deadline: Monotonic, in seconds.
-        :param heard: Called with the outcome of each attempt.
+        :param on_outcome: Called with the outcome of each attempt.
         :param name: Name that the request keeps when it is sent again; empty without
             one.
         :param may_begin: Called before each attempt; none starts while it returns
@@ -194,7 +198,7 @@
             may_begin,
             first_start or FirstStart(),
         )
-        await self._crash_watch.ask()
+        await self._crash_watch.refresh()
         pending: set[asyncio.Task[Outcome]] = set()
         try:
             while current.left > _MIN_TIME_LEFT:
@@ -279,7 +283,7 @@
         """
         if current.route.kind is not RouteKind.SAFE:
             return False
-        return self._crash_watch.standing(current.key) is Standing.FREE
+        return self._crash_watch.poison_status(current.key) is PoisonStatus.CLEAN
 
     def _wait_time(self, current: RequestState) -> float:
         """
@@ -299,13 +303,13 @@
     ) -> Outcome:
         if not current.may_begin():
             # The process was paused after the attempt was scheduled.
-            attempt.finish(AttemptEnd.NOT_RUN, boot_time())
+            attempt.finish(AttemptOutcome.NOT_RUN, boot_time())
             return NotRun(ResultCode.NO_BACKEND, "not sent: what is known is too old")
         number = current.attempts.count
         sent_at = boot_time()
         with (
-            self._pool.take(engine),
-            self._crash_watch.running(engine.incarnation, current.key) as run,
+            self._pool.reserve(engine),
+            self._crash_watch.track_run(engine.incarnation, current.key) as run,
         ):
             try:
                 left = max(0.0, current.left)
@@ -322,16 +326,16 @@
             else:
                 record_run(run, engine, outcome)
         attempt.finish(attempt_end(outcome), boot_time())
-        current.heard(outcome)
+        current.on_outcome(outcome)
         match outcome:
             case EngineAnswer():
                 current.first_start.confirm(sent_at)
-                self._pool.answered(engine)
+                self._pool.record_success(engine)
             case NotRun():
                 self._pool.record_refusal(engine)
             case OutcomeUnknown():
                 current.first_start.assume(sent_at)
-                self._pool.failed(engine)
+                self._pool.record_failure(engine)
         if not isinstance(outcome, EngineAnswer) or outcome.status >= 500:
             self._log_attempt(current, engine, number, describe(outcome))
         if not isinstance(outcome, NotRun):
@@ -342,7 +346,7 @@
         """
         Return the outcome of an attempt that timed out; it may have run.
         """
-        restarted = self._timeouts.is_over(engine.incarnation)
+        restarted = self._timeouts.has_restarted(engine.incarnation)
         reason = "the engine has started again" if restarted else "no answer in time"
         return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, reason)
 
@@ -361,7 +365,9 @@
 
     def _give_up(self, current: RequestState) -> Outcome:
         outcome = current.last
-        barred = self._crash_watch.standing(current.key) is Standing.BARRED
+        barred = (
+            self._crash_watch.poison_status(current.key) is PoisonStatus.QUARANTINED
+        )
         if outcome is None and barred:
             code = ResultCode.ENDS_ENGINES
             outcome = NotRun(
--- a/packages/saddledoord/src/saddledoord/serving/pool.py
+++ b/packages/saddledoord/src/saddledoord/serving/pool.py
@@ -87,7 +87,7 @@
         monotonic, in seconds.
     """
 
-    own: int = 0
+    in_flight: int = 0
     backoff_until: float = 0.0
     overtaken_until: float = 0.0
     failures: int = 0
@@ -124,7 +124,7 @@
     def __init__(self, view: ClusterView, choose: RoutingPolicy) -> None:
         self._view = view
         self._choose = choose
-        self._usage_by_engine = view.memory.table(_EngineUsage)
+        self._usage_by_engine = view.engine_tables.table(_EngineUsage)
 
     def choose(
         self, service: str, exclude: Iterable[Incarnation] = (), kind: str = ""
@@ -188,7 +188,7 @@
         return [
             engine
             for engine in self._view.directory.usable(service, now)
-            if self._usage(engine).own < engine.slots
+            if self._usage(engine).in_flight < engine.slots
             and self._is_eligible(engine, kind, now)
         ]
 
@@ -196,18 +196,18 @@
         """
         Return the number of requests that this node has in flight at an engine.
         """
-        return self._usage(engine).own
+        return self._usage(engine).in_flight
 
     def reserve(self, engine: EngineEntry, kind: str = "") -> Reservation:
         """
         Reserve a slot at an engine at once, so that the next choice counts it.
         """
         usage = self._usage(engine)
-        usage.own += 1
+        usage.in_flight += 1
         refusal = usage.refusals.get(kind)
         if refusal is not None:
             refusal.is_probing = True
-        return Place(lambda: _release(usage, refusal))
+        return Reservation(lambda: _release(usage, refusal))
 
     def record_success(self, engine: EngineEntry, kind: str = "") -> None:
         """
@@ -247,7 +247,7 @@
         if not engines:
             return None
         candidates = [
-            Candidate(engine_id, max(1, engine.slots), self._usage(engine).own)
+            Candidate(engine_id, max(1, engine.slots), self._usage(engine).in_flight)
             for engine_id, engine in engines.items()
         ]
         return engines[self._choose(candidates).name]
@@ -260,6 +260,6 @@
 
 
 def _release(usage: _EngineUsage, refusal: _Refusal | None) -> None:
-    usage.own -= 1
+    usage.in_flight -= 1
     if refusal is not None:
         refusal.is_probing = False
--- a/packages/saddledoord/src/saddledoord/serving/request_state.py
+++ b/packages/saddledoord/src/saddledoord/serving/request_state.py
@@ -72,7 +72,7 @@
     route: GatewayRoute
     request: ForwardedRequest
     deadline: float
-    heard: Callable[[Outcome], None]
+    on_outcome: Callable[[Outcome], None]
     key: str
     service: str
     attempts: EngineAttempts
--- a/packages/saddledoord/src/saddledoord/serving/unresponsive_engines.py
+++ b/packages/saddledoord/src/saddledoord/serving/unresponsive_engines.py
@@ -37,7 +37,7 @@
 
     def __init__(self, engines: Engines, engine_tables: EngineTables) -> None:
         self._engines = engines
-        self._probes = memory.table(set, _cancel)
+        self._probes = engine_tables.table(set, _cancel)
 
     def probe(self, engine: EngineEntry) -> None:
         """
--- a/tests/crash_watches.py
+++ b/tests/crash_watches.py
@@ -15,7 +15,7 @@
 from saddledoord.serving.engine_crash_watch import EngineCrashWatch
 
 
-__all__ = ["FakeControlLog", "make_end_watch"]
+__all__ = ["FakeControlLog", "make_crash_watch"]
 
 
 class _Engines:
@@ -37,7 +37,7 @@
 
     def __init__(self, last_read_at: float = float("inf")) -> None:
         self.last_read_at = last_read_at
-        self.unread: list[EngineEnded | RequestsCleared] = []
+        self.unread: list[EngineCrashed | RequestsCleared] = []
         self.records: list[bytes] = []
         self._apply: Callable[[object], None] = lambda record: None
 
@@ -54,23 +54,25 @@
         self.records += records
         return Appended(0)
 
-    def deliver(self, record: EngineEnded | RequestsCleared) -> None:
+    def deliver(self, record: EngineCrashed | RequestsCleared) -> None:
         """
         Pass a record to the watch.
         """
         self._apply(record)
 
-    def has_record(self, record: EngineEnded | RequestsCleared) -> bool:
+    def has_record(self, record: EngineCrashed | RequestsCleared) -> bool:
         return encode_record(record).encode() in self.records
 
 
-def make_end_watch(
+def make_crash_watch(
     view: ClusterView, control_log: FakeControlLog | None = None, gone: bool = False
-) -> EngineEndWatch:
+) -> EngineCrashWatch:
     """
     Return a crash watch.
 
     :param gone: Whether checked engines are found to have crashed.
     """
     control_log = control_log or FakeControlLog()
-    return EngineEndWatch(_Engines(gone), view.memory, control_log, control_log)
+    return EngineCrashWatch(
+        _Engines(gone), view.engine_tables, control_log, control_log
+    )
--- a/tests/function_engines.py
+++ b/tests/function_engines.py
@@ -60,9 +60,9 @@
         entry = make_engine_entry(f"desk-{index}")
         view.apply_engine(KeyedEntry(entry.engine_id, index, entry))
     pool = EnginePool(view, least_outstanding(lambda: 0.0))
-    timeouts = EngineLives(view)
-    crash_watch = make_end_watch(view)
-    admission = Admission(view, boot_time, KeyBounds(2.0))
+    timeouts = EngineTimeouts(view)
+    crash_watch = make_crash_watch(view)
+    admission = Admission(view, boot_time, KeyFreshnessBounds(2.0))
     pass_through = PassThrough(
         view, pool, engines, timeouts, crash_watch, admission, _ignore_request
     )
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -109,7 +109,7 @@
         _WATCH,
         "if run.started_at <= ended_at <= run.started_at + _CRASH_WINDOW\n",
         "if run.started_at <= ended_at\n",
-        (END_WATCH, "ran_for_long"),
+        (CRASH_WATCH, "ran_for_long"),
     ),
     Guard(
         "what an engine has answered is not blamed for its end",
@@ -118,14 +118,14 @@
         self._watch.clear_request(self._run.key)
 """,
         "        self._watch.clear_request(self._run.key)\n",
-        (END_WATCH, "answered_before_its_end"),
+        (CRASH_WATCH, "answered_before_its_end"),
     ),
     Guard(
         "a timer that fires after a standstill shows nothing",
         _WATCH,
         "if boot_time() - run.started_at <= _CRASH_WINDOW + _TIMER_TOLERANCE:\n",
         "if run.started_at:\n",
-        (END_WATCH, "standstill"),
+        (CRASH_WATCH, "standstill"),
     ),
     Guard(
         "what waits for the store is bounded",
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Guards of engines: their lives, weights and orders, and which one an item goes to.
+Guards of engines: incarnations, weights, orders and the placement of items.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
     ),
     Guard(
         "what is in flight at an engine ends with its life",
-        f"{DAEMON}/cluster/lives.py",
+        f"{DAEMON}/cluster/engine_timeouts.py",
         "            timeout.reschedule(now)\n",
         "            pass\n",
         (LIVES, "repeated_at_once or answer_at_once or leaves_an_engine"),
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -77,7 +77,7 @@
     ),
     Guard(
         "a standstill is noticed when it is asked about",
-        f"{DAEMON}/standstills.py",
+        f"{DAEMON}/process_pauses.py",
         """        self._check()
         return self._ended_at""",
         "        return self._ended_at",
--- a/tests/guard_rows/nodes.py
+++ b/tests/guard_rows/nodes.py
@@ -106,8 +106,8 @@
     Guard(
         "a planned stop waits for the store",
         f"{DAEMON}/gateway.py",
-        "while not await self.jobs.sync() and boot_time() < started_at + patience:",
-        "while False:",
+        "not await self.jobs.sync() and boot_time() < started_at + store_timeout:",
+        "False:",
         (WEIGHTS, "loses_no_text"),
     ),
     Guard(
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -95,9 +95,9 @@
     Guard(
         "what a request may have waited unread counts",
         f"{DAEMON}/serving/pass_through.py",
-        "time_limit = time_left(limit, route.objective, held_up)",
+        "time_limit = time_left(limit, route.objective, read_delay)",
         "time_limit = limit",
-        (STANDSTILLS, "hears_within_its_time"),
+        (PROCESS_PAUSES, "hears_within_its_time"),
     ),
     Guard(
         "a request that has run nowhere does not wait",
--- a/tests/test_asking_again.py
+++ b/tests/test_asking_again.py
@@ -125,7 +125,7 @@
 
     async def ask() -> list:
         asking = [
-            pass_through.serve(make_request(f"/look/{number}"), patience)
+            pass_through.serve(make_request(f"/look/{number}"), caller_timeout)
             for number in range(count)
         ]
         return await asyncio.gather(*asking)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -47,7 +47,7 @@
     :param limit: The timeout, in seconds.
     :param suspended: Duration of the suspension, in seconds.
     """
-    standstills = asyncio.create_task(ProcessPauses(vm.boot_time).run())
+    heartbeat = asyncio.create_task(ProcessPauses(vm.boot_time).run())
     await asyncio.sleep(0.05)
 
     async def suspend() -> float:
@@ -60,7 +60,7 @@
         async with asyncio.timeout(limit):
             await asyncio.sleep(60.0)
     expired_at = time.monotonic()
-    standstills.cancel()
+    heartbeat.cancel()
     return expired_at - suspension.result()
 
 
@@ -108,7 +108,7 @@
     Connections that arrived during a pause must be accepted before the process ends.
     """
     now = [10.0]
-    polls = Looks(lambda: now[0])
+    polls = ShutdownPoll(lambda: now[0])
     for passed, on_time in ((0.05, False), (0.05, True), (0.4, False), (0.05, True)):
         now[0] += passed
-        assert polls.is_on_time() is on_time
+        assert polls.polled_recently() is on_time
--- a/tests/test_engine_crash_watch.py
+++ b/tests/test_engine_crash_watch.py
@@ -9,7 +9,7 @@
 import asyncio
 
 import pytest
-from end_watches import FakeControlLog, make_end_watch
+from crash_watches import FakeControlLog, make_crash_watch
 
 from builders import make_engine_entry
 from saddledoor import EngineCrashed, PoisonStatus, RequestsCleared
@@ -30,21 +30,23 @@
     ) -> None:
         self.control_log = control_log or FakeControlLog()
         self.view = ClusterView()
-        self.watch: EngineEndWatch = make_end_watch(self.view, self.control_log, gone)
+        self.watch: EngineCrashWatch = make_crash_watch(
+            self.view, self.control_log, gone
+        )
 
     async def interrupt(self, index: int, *keys: str) -> None:
         """
         Interrupt all requests at an engine at the same time.
         """
         engine = make_engine_entry(f"engine-{index}")
-        runs = [self.watch.running(engine.incarnation, key) for key in keys]
+        runs = [self.watch.track_run(engine.incarnation, key) for key in keys]
         for tracked in [run.__enter__() for run in runs]:
-            tracked.broke_off(engine)
+            tracked.record_interrupted(engine)
         await asyncio.sleep(0.01)
         for run in runs:
             run.__exit__(None, None, None)
 
-    def standings(self, *keys: str) -> list[PoisonStatus]:
+    def poison_statuses(self, *keys: str) -> list[PoisonStatus]:
         return [self.watch.poison_status(key) for key in keys]
 
     async def flush(self) -> None:
@@ -58,20 +60,20 @@
 
 def test_a_request_at_three_crashes_is_quarantined():
     """
-    A third crash without another suspect also clears the requests beside it.
+    Once it is the only suspect at a crash, the requests beside it are cleared.
     """
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node()
         await node.interrupt(0, "cause", "b", "c")
         await node.interrupt(1, "cause", "b")
         await node.interrupt(2, "cause", "b")
-        unclear = node.standings("cause", "b")
-        assert unclear == [Standing.UNCLEAR] * 2
+        ambiguous = node.poison_statuses("cause", "b")
+        assert ambiguous == [PoisonStatus.AMBIGUOUS] * 2
         await node.interrupt(3, "cause")
-        return node.standings("cause", "b", "c")
+        return node.poison_statuses("cause", "b", "c")
 
-    expected = [Standing.BARRED, Standing.FREE, Standing.FREE]
+    expected = [PoisonStatus.QUARANTINED, PoisonStatus.CLEAN, PoisonStatus.CLEAN]
     assert asyncio.run(scenario()) == expected
 
 
@@ -80,14 +82,14 @@
     A closed connection to an engine that is alive is no crash.
     """
 
-    async def scenario() -> tuple[list[Standing], list[bytes]]:
+    async def scenario() -> tuple[list[PoisonStatus], list[bytes]]:
         node = _Node(gone=False)
         for _ in range(5):
             await node.interrupt(0, "a")
         await node.flush()
-        return node.standings("a"), node.control_log.records
+        return node.poison_statuses("a"), node.control_log.records
 
-    assert asyncio.run(scenario()) == ([Standing.FREE], [])
+    assert asyncio.run(scenario()) == ([PoisonStatus.CLEAN], [])
 
 
 def test_an_interrupted_request_is_a_suspect_while_its_engine_is_checked():
@@ -95,14 +97,14 @@
     So that requests that were interrupted together are not retried together.
     """
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node()
         engine = make_engine_entry("engine-0")
         with node.watch.track_run(engine.incarnation, "a") as run:
             run.record_interrupted(engine)
-            return node.standings("a", "b")
+            return node.poison_statuses("a", "b")
 
-    assert asyncio.run(scenario()) == [Standing.SUSPECT, Standing.FREE]
+    assert asyncio.run(scenario()) == [PoisonStatus.SUSPECT, PoisonStatus.CLEAN]
 
 
 def test_an_entry_of_a_later_incarnation_reports_a_crash():
@@ -110,72 +112,72 @@
     The crash is detected without a check of the address.
     """
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node(gone=False)
         first = make_engine_entry("engine-0", started_at=1)
         node.view.apply_engine(KeyedEntry("engine-0", 0, first))
         with node.watch.track_run(first.incarnation, "a"):
             second = make_engine_entry("engine-0", started_at=2)
             node.view.apply_engine(KeyedEntry("engine-0", 1, second))
-        return node.standings("a")
+        return node.poison_statuses("a")
 
-    assert asyncio.run(scenario()) == [Standing.SUSPECT]
+    assert asyncio.run(scenario()) == [PoisonStatus.SUSPECT]
 
 
 def test_a_request_that_ran_for_long_is_not_blamed(monkeypatch):
     """
     A crash long after the request started has another cause.
     """
-    monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
+    monkeypatch.setattr(engine_crash_watch, "_CRASH_WINDOW", 0.05)
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node()
         engine = make_engine_entry("engine-0")
         with node.watch.track_run(engine.incarnation, "a") as run:
             await asyncio.sleep(0.1)
             run.record_interrupted(engine)
             await asyncio.sleep(0.01)
-        return node.standings("a")
+        return node.poison_statuses("a")
 
-    assert asyncio.run(scenario()) == [Standing.FREE]
+    assert asyncio.run(scenario()) == [PoisonStatus.CLEAN]
 
 
 def test_a_suspect_is_cleared_once_it_has_run_for_long(monkeypatch):
     """
     It is cleared while it still runs, and the other nodes are notified.
     """
-    monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
+    monkeypatch.setattr(engine_crash_watch, "_CRASH_WINDOW", 0.05)
 
-    async def scenario() -> tuple[list[Standing], bool]:
+    async def scenario() -> tuple[list[PoisonStatus], bool]:
         node = _Node()
         await node.interrupt(0, "a")
-        with node.watch.running(make_engine_entry("engine-1").incarnation, "a"):
+        with node.watch.track_run(make_engine_entry("engine-1").incarnation, "a"):
             await asyncio.sleep(0.1)
-            standings = node.standings("a")
+            poison_statuses = node.poison_statuses("a")
         await node.flush()
-        return standings, node.control_log.has_record(RequestsCleared(("a",)))
+        return poison_statuses, node.control_log.has_record(RequestsCleared(("a",)))
 
-    assert asyncio.run(scenario()) == ([Standing.FREE], True)
+    assert asyncio.run(scenario()) == ([PoisonStatus.CLEAN], True)
 
 
 def test_a_standstill_clears_nobody(monkeypatch):
     """
     A timer that fires late after a process pause does not show that the engine lived.
     """
-    monkeypatch.setattr(engine_ends, "_CRASH_WINDOW", 0.05)
+    monkeypatch.setattr(engine_crash_watch, "_CRASH_WINDOW", 0.05)
     slept = 0.0
     monkeypatch.setattr(engine_crash_watch, "boot_time", lambda: boot_time() + slept)
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         nonlocal slept
         node = _Node()
         await node.interrupt(0, "a")
-        with node.watch.running(make_engine_entry("engine-1").incarnation, "a"):
+        with node.watch.track_run(make_engine_entry("engine-1").incarnation, "a"):
             slept = 5.0
             await asyncio.sleep(0.1)
-            return node.standings("a")
+            return node.poison_statuses("a")
 
-    assert asyncio.run(scenario()) == [Standing.SUSPECT]
+    assert asyncio.run(scenario()) == [PoisonStatus.SUSPECT]
 
 
 @pytest.mark.parametrize("end", ["record_completed", "record_not_started"])
@@ -184,16 +186,16 @@
     Neither a request that completed before the crash nor one that was refused.
     """
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node()
         with node.watch.track_run(
             make_engine_entry("engine-0").incarnation, "a"
         ) as run:
             getattr(run, end)()
         await node.interrupt(0, "b")
-        return node.standings("a", "b")
+        return node.poison_statuses("a", "b")
 
-    assert asyncio.run(scenario()) == [Standing.FREE, Standing.SUSPECT]
+    assert asyncio.run(scenario()) == [PoisonStatus.CLEAN, PoisonStatus.SUSPECT]
 
 
 def test_a_request_cancelled_just_before_a_crash_is_a_suspect():
@@ -201,14 +203,14 @@
     The engine may have started a request that was cancelled.
     """
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node()
         with node.watch.track_run(make_engine_entry("engine-0").incarnation, "a"):
             pass
         await node.interrupt(0, "b")
-        return node.standings("a", "b")
+        return node.poison_statuses("a", "b")
 
-    assert asyncio.run(scenario()) == [Standing.SUSPECT] * 2
+    assert asyncio.run(scenario()) == [PoisonStatus.SUSPECT] * 2
 
 
 def test_an_answer_is_reported_only_for_a_suspect():
@@ -218,8 +220,10 @@
 
     async def scenario() -> list[bytes]:
         node = _Node()
-        with node.watch.running(make_engine_entry("engine-1").incarnation, "a") as run:
-            run.survived()
+        with node.watch.track_run(
+            make_engine_entry("engine-1").incarnation, "a"
+        ) as run:
+            run.record_completed()
         await node.flush()
         return node.control_log.records
 
@@ -231,15 +235,15 @@
     After a process pause the control stream is read before a request is judged.
     """
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node(control_log=FakeControlLog(last_read_at=boot_time() - 5.0))
-        node.control_log.unread = [EngineEnded(f"e-{n}", 1, ("a",)) for n in range(3)]
+        node.control_log.unread = [EngineCrashed(f"e-{n}", 1, ("a",)) for n in range(3)]
         assert not node.watch.is_current()
         await node.watch.refresh()
         assert node.watch.is_current()
-        return node.standings("a")
+        return node.poison_statuses("a")
 
-    assert asyncio.run(scenario()) == [Standing.BARRED]
+    assert asyncio.run(scenario()) == [PoisonStatus.QUARANTINED]
 
 
 def test_a_recent_read_without_answer_delays_no_request():
@@ -251,14 +255,14 @@
         async def sync(self) -> bool:
             raise AssertionError("not asked")
 
-    async def scenario() -> list[Standing]:
+    async def scenario() -> list[PoisonStatus]:
         node = _Node(control_log=_Away(last_read_at=boot_time()))
         for number in range(3):
             await node.interrupt(number, "a")
-        await node.watch.ask()
-        return node.standings("a")
+        await node.watch.refresh()
+        return node.poison_statuses("a")
 
-    assert asyncio.run(scenario()) == [Standing.BARRED]
+    assert asyncio.run(scenario()) == [PoisonStatus.QUARANTINED]
 
 
 def test_an_unresponsive_store_delays_a_request_only_briefly():
@@ -274,7 +278,7 @@
     async def scenario() -> float:
         node = _Node(control_log=_Silent(last_read_at=0.0))
         started_at = boot_time()
-        await node.watch.ask()
+        await node.watch.refresh()
         return boot_time() - started_at
 
     assert 0.2 < asyncio.run(scenario()) < 0.6
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -51,8 +51,12 @@
     return count
 
 
-@pytest.mark.parametrize(("gather", "least", "most"), [(0.0, 25, 60), (0.1, 8, 13)])
-def test_a_node_reads_as_often_as_it_gathers_not_as_others_write(gather, least, most):
+@pytest.mark.parametrize(
+    ("batch_delay", "least", "most"), [(0.0, 25, 60), (0.1, 8, 13)]
+)
+def test_a_node_reads_as_often_as_it_gathers_not_as_others_write(
+    batch_delay, least, most
+):
     """
     The pause after new records bounds the number of reads, whatever is appended.
     """
@@ -64,7 +68,7 @@
             log,
             "jobs",
             lambda offset, _: seen.append(offset),
-            batch_delay=lambda: gather,
+            batch_delay=lambda: batch_delay,
         )
         task = asyncio.create_task(follower.run())
         written = await _write(log, 1.0)
@@ -119,7 +123,7 @@
     async def scenario():
         texts = TextStore(log, 1000, 4000)
         jobs = JobService(
-            log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false
+            log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _false, _false
         )
         task = asyncio.create_task(jobs.run())
         await log.append("jobs", [encode_job_record(make_job_opened(make_job(20)))])
--- a/tests/test_pass_through.py
+++ b/tests/test_pass_through.py
@@ -47,7 +47,7 @@
     engines = FunctionEngines(answer)
     pass_through, pool, _ = make_pass_through(engines, make_route("/look/"))
     for index in range(2):
-        pool.failed(make_engine_entry(f"desk-{index}"))
+        pool.record_failure(make_engine_entry(f"desk-{index}"))
     outcome = asyncio.run(pass_through.serve(make_request("/look/x"), 1.0))
     assert isinstance(outcome, EngineAnswer)
     assert len(engines.called) == 1
@@ -62,15 +62,15 @@
     pass_through, _, view = make_pass_through(engines, route)
     failures = 0
 
-    def failed():
+    def record_failure():
         nonlocal failures
         failures += 1
 
     call = ScoreCall("s-1", "desk.example", "/score/x", b"text")
     scorer = Scorer(view, pass_through)
     try:
-        signature = asyncio.run(scorer.score(call, 0, failed, lambda: True))
-    except ScoreImpossibleError:
+        signature = asyncio.run(scorer.score(call, 0, record_failure, lambda: True))
+    except ScoringFailedError:
         signature = None
     return signature, engines.called, failures
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -37,7 +37,7 @@
 
 
 def _has_free_slot(pool: EnginePool, engine: EngineEntry, model: str) -> bool:
-    return engine in pool.with_room(engine.service, model)
+    return engine in pool.with_free_slots(engine.service, model)
 
 
 def test_an_engine_that_refuses_one_model_takes_items_of_the_others():
@@ -45,7 +45,7 @@
     It may be loading the weights of that model only.
     """
     pool, engine = _pool()
-    pool.refused(engine, "model-a")
+    pool.record_refusal(engine, "model-a")
     assert not _has_free_slot(pool, engine, "model-a")
     assert _has_free_slot(pool, engine, "model-b")
 
@@ -55,11 +55,11 @@
     Otherwise each event would send all waiting items to the engine again.
     """
     pool, engine = _pool()
-    pool.refused(engine, "model-a")
-    pool.answered(engine, "model-b")
-    pool.answered(engine)
+    pool.record_refusal(engine, "model-a")
+    pool.record_success(engine, "model-b")
+    pool.record_success(engine)
     assert not _has_free_slot(pool, engine, "model-a")
-    pool.answered(engine, "model-a")
+    pool.record_success(engine, "model-a")
     assert _has_free_slot(pool, engine, "model-a")
 
 
@@ -71,7 +71,7 @@
     pool.record_refusal(engine, "model-a")
     monkeypatch.setattr("saddledoord.serving.pool.boot_time", lambda: 1e9)
     assert _has_free_slot(pool, engine, "model-a")
-    with pool.take(engine, "model-a"):
+    with pool.reserve(engine, "model-a"):
         assert not _has_free_slot(pool, engine, "model-a")
     assert _has_free_slot(pool, engine, "model-a")
 
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -75,19 +75,21 @@
         self.records = log.records
         self._links = (shared, _Link(_NODE_RATE))
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
         records = self.records[stream]
         if start >= len(records):
             await asyncio.sleep(wait)
             return LogPage(start, (), len(records))
         stop, size = start + 1, len(records[start])
-        while stop < len(records) and size + len(records[stop]) <= largest:
+        while stop < len(records) and size + len(records[stop]) <= max_bytes:
             size += len(records[stop])
             stop += 1
         needed = max(link.sent_at(size) for link in self._links) - boot_time()
-        await asyncio.sleep(min(needed, patience))
-        if needed > patience:
-            raise StoreAwayError("too slow")
+        await asyncio.sleep(min(needed, answer_timeout))
+        if needed > answer_timeout:
+            raise StoreUnavailableError("too slow")
         return LogPage(start, tuple(records[start:stop]), len(records))
 
 
@@ -97,7 +99,9 @@
 
 def _service(log) -> JobService:
     texts = TextStore(log, largest_record=_MAX_RECORD, largest_append=8 * _MAX_RECORD)
-    return JobService(log, JobBook(), texts, Changes(), 120.0, 300.0, _false, _false)
+    return JobService(
+        log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _false, _false
+    )
 
 
 def _watched(log: FakeLog) -> WatchedLog:
@@ -125,7 +129,7 @@
     for n in range(_ITEMS):
         place = StoredText((len(log.records["texts"]),), _TEXT_SIZE)
         log.records["texts"].append(b"a" * _TEXT_SIZE)
-        result = ItemListed(job_id, ItemResult(f"item-{n}", True, place))
+        result = ItemResultRecorded(job_id, ItemResult(f"item-{n}", True, place))
         log.records["jobs"].append(encode_job_record(result))
 
 
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -79,7 +79,7 @@
         reading = asyncio.create_task(store.keep_reading(2.0))
 
         async def read():
-            with pytest.raises(StoreAwayError, match="silent"):
+            with pytest.raises(StoreUnavailableError, match="silent"):
                 await store.log.read("old", 0, wait=0.3)
 
         assert 0.6 < await _duration(read()) < 1.0
@@ -116,7 +116,7 @@
         await asyncio.sleep(0.6)
         assert not append.done()
         assert isinstance(await store.log.append("new", [b"r"]), Appended)
-        assert isinstance(await append, UnknownAppend)
+        assert isinstance(await append, AppendOutcomeUnknown)
 
     asyncio.run(scenario())
 
@@ -129,7 +129,7 @@
     async def scenario():
         store = _WatchedStore()
         reading = asyncio.create_task(store.keep_reading(1.2))
-        read = asyncio.create_task(store.log.read("old", 0, patience=3.0))
+        read = asyncio.create_task(store.log.read("old", 0, answer_timeout=3.0))
         await reading
         assert not read.done()
         read.cancel()
--- a/tests/test_unresponsive_engines.py
+++ b/tests/test_unresponsive_engines.py
@@ -38,10 +38,10 @@
 
     async def scenario():
         engines = _Engines(failed_probes=3)
-        unresponsive = SilentEngines(engines, EngineMemory())
+        unresponsive = UnresponsiveEngines(engines, EngineTables())
         engine = make_engine_entry("e-1")
         for _ in range(5):
-            unresponsive.note(engine)
+            unresponsive.probe(engine)
         assert Incarnation("e-1") in unresponsive
         assert Incarnation("e-2") not in unresponsive
         while Incarnation("e-1") in unresponsive:
@@ -58,9 +58,9 @@
 
     async def scenario():
         engines = _Engines(failed_probes=0)
-        unresponsive = SilentEngines(engines, EngineMemory())
+        unresponsive = UnresponsiveEngines(engines, EngineTables())
         for probes in (1, 2):
-            unresponsive.note(make_engine_entry("e-1"))
+            unresponsive.probe(make_engine_entry("e-1"))
             await asyncio.sleep(0.05)
             assert Incarnation("e-1") not in unresponsive
             assert engines.probes == probes
@@ -72,11 +72,11 @@
     """
     It may still serve requests.
     """
-    monkeypatch.setattr("saddledoord.serving.silence._PROBE_LIMIT", 0.3)
+    monkeypatch.setattr("saddledoord.serving.unresponsive_engines._PROBE_LIMIT", 0.3)
 
     async def scenario():
-        unresponsive = SilentEngines(_Engines(failed_probes=1000), EngineMemory())
-        unresponsive.note(make_engine_entry("e-1"))
+        unresponsive = UnresponsiveEngines(_Engines(failed_probes=1000), EngineTables())
+        unresponsive.probe(make_engine_entry("e-1"))
         await asyncio.sleep(0.2)
         assert Incarnation("e-1") in unresponsive
         await asyncio.sleep(0.3)
