--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -51,7 +51,7 @@
         "a scoring call goes to no second engine without a known log end",
         f"{DAEMON}/serving/pass_through.py",
         "            attempts,\n            may_begin,\n",
-        "            attempts,\n            _always,\n",
+        "            attempts,\n            _always_true,\n",
         (PASS, "no_second_instance"),
     ),
     Guard(
@@ -78,7 +78,7 @@
     Guard(
         "a standstill is noticed when it is asked about",
         f"{DAEMON}/process_pauses.py",
-        """        self._look()
+        """        self._check()
         return self._ended_at""",
         "        return self._ended_at",
         (LOG_FRESHNESS, "before_any_timer"),
