--- a/packages/saddledoor/src/saddledoor/_answers.py
+++ b/packages/saddledoor/src/saddledoor/_answers.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-One whole answer, put together from parts that may break off or belong to others.
+Assembly of one complete answer from the parts of several attempts.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 __all__ = ["Answer", "AnswerBuilder", "Part"]
 
-#: Finish reason that promises the length asked for.
+#: Finish reason of an answer that has the requested length.
 _LENGTH = "length"
 
 
@@ -22,7 +22,7 @@
     """
     A part of an engine's answer.
 
-    :param version: Weight version that the engine names in this part, or none.
+    :param version: Weight version that the engine named in this part, or none.
     :param finish_reason: Set in the last part only.
     """
 
@@ -49,10 +49,10 @@
 
 class AnswerBuilder:
     """
-    Takes the parts of one attempt at a time; a later attempt goes on where the one
-    before broke off.
+    Collects the parts of one attempt at a time; a later attempt resumes where the
+    previous one broke off.
 
-    :param max_tokens: The length asked for, in tokens.
+    :param max_tokens: The requested length, in tokens.
     """
 
     @property
@@ -65,7 +65,7 @@
     @property
     def tokens(self) -> int:
         """
-        Tokens so far, a count.
+        Number of tokens so far.
         """
         return self._tokens
 
@@ -80,36 +80,35 @@
 
     def begin_attempt(self, attempt_id: str) -> None:
         """
-        Go on with another attempt; parts of earlier ones are foreign from now on.
+        Start another attempt; parts of earlier attempts are rejected from now on.
         """
         self._attempt = attempt_id
         self._last = None
 
     def take(self, attempt_id: str, part: Part) -> bool:
         """
-        Take a part.
+        Append a part.
 
-        :returns: False if it belongs to another attempt, comes after the last part or
-            is more than was asked for; nothing was taken then.
+        :returns: False if the part belongs to another attempt, comes after the last
+            part or exceeds the requested length; it is not appended then.
         """
         if attempt_id != self._attempt or self._last is not None:
             return False
         if part.tokens < 0 or self._tokens + part.tokens > self._max_tokens:
-            # Whatever this attempt sends after a part that was refused has a gap
-            # before it.
+            # Later parts of this attempt would leave a gap after the rejected one.
             self._attempt = None
             return False
         if part.finish_reason is None:
             self._add(part)
         else:
-            # It counts only with the end marker behind it; a later attempt makes its
-            # tokens again.
+            # The last part is appended with the end marker; without the marker, a later
+            # attempt makes its tokens again.
             self._last = part
         return True
 
     def end(self, attempt_id: str) -> None:
         """
-        Note the stream's end marker.
+        Handle the stream's end marker.
         """
         if attempt_id == self._attempt and self._last is not None:
             self._add(self._last)
@@ -117,7 +116,7 @@
 
     def whole(self) -> Answer | None:
         """
-        Return the answer if it is whole, or none.
+        Return the answer if it is complete, or none.
         """
         if not self._ended or self._last is None:
             return None
--- a/packages/saddledoor/src/saddledoor/_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_attempts.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Attempts of one request: when it may go to another back end, and what giving up means.
+Attempts of one request: whether it may be retried, and its outcome if not.
 """
 
 from __future__ import annotations
@@ -18,16 +18,20 @@
 @dataclass
 class Attempts:
     """
-    What is known of a request's attempts.
-
-    :param limit: Most attempts, a count.
-    :param unrepeatable: Whether it may be handed over only once.
-    :param cut_code: How an unknown outcome of this kind of request is told.
+    State of a request's attempts.
+
+    :param limit: Maximum number of attempts.
+    :param unrepeatable: Whether the request may be handed over only once.
+    :param unknown_code: Result code of an unknown outcome of this kind of request.
+    :param count: Number of attempts so far.
+    :param handed_over: Whether a byte of the request may have reached a back end.
+    :param reason: Reason of the last failure.
+    :param avoid: Back ends that failed the request.
     """
 
     limit: int
     unrepeatable: bool
-    cut_code: ResultCode
+    unknown_code: ResultCode
     count: int = 0
     handed_over: bool = False
     reason: str = ""
@@ -44,10 +48,10 @@
 
     def failed(self, backend: str, handed_over: bool, reason: str) -> None:
         """
-        Note that an attempt brought no whole answer.
+        Record an attempt without a complete answer.
 
-        :param handed_over: Whether a byte of the request may have reached the back
-            end, which did not vouch that it never started.
+        :param handed_over: Whether a byte of the request may have reached the back end;
+            false if the back end reported that it did not start the request.
         """
         self.avoid.add(backend)
         self.handed_over = self.handed_over or handed_over
@@ -55,7 +59,8 @@
 
     def refuse_retry(self, budget: RetryBudget) -> NotRun | OutcomeUnknown | None:
         """
-        Return none if another attempt may begin, otherwise the final outcome.
+        Return none if another attempt may begin, which spends one retry of the budget;
+        otherwise the outcome of the request.
         """
         if self.unrepeatable and self.handed_over:
             return self._unknown(self.reason)
@@ -68,7 +73,7 @@
 
     def give_up(self, refusal: NotRun) -> NotRun | OutcomeUnknown:
         """
-        Turn a refusal of the next attempt into the outcome of the request.
+        Return the outcome of the request after its next attempt was refused.
 
         The refused attempt did not run, but an earlier one may have.
         """
@@ -77,4 +82,4 @@
         return self._unknown(self.reason or refusal.detail)
 
     def _unknown(self, detail: str) -> OutcomeUnknown:
-        return OutcomeUnknown(self.cut_code, detail)
+        return OutcomeUnknown(self.unknown_code, detail)
--- a/packages/saddledoor/src/saddledoor/_availability.py
+++ b/packages/saddledoor/src/saddledoor/_availability.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Whether a back end may get new work, from all that a node knows of it.
+Eligibility of a back end for new work.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 
 __all__ = ["DEAD_REPORT_AGE", "PENALTY", "Need", "may_use"]
 
-#: A back end that just failed this node gets no work for so long, in seconds.
+#: How long a back end gets no work after it failed this node, in seconds.
 PENALTY = 1.0
-#: A report that says a back end is dead is believed for so long, in seconds.
+#: How long a report that a back end is dead holds, in seconds.
 DEAD_REPORT_AGE = 5.0
 
 
 @dataclass(frozen=True)
 class Need:
     """
-    What a request needs of a back end.
+    What a request requires of a back end.
 
-    :param min_version: Oldest weight version that will do, or -1.
+    :param model: Model that the request is for.
+    :param min_version: Oldest acceptable weight version; -1 accepts any.
     """
 
     model: str = ""
@@ -39,11 +40,12 @@
     failed_at: float = float("-inf"),
 ) -> bool:
     """
-    Tell whether a back end may get new work.
+    Return whether a back end may get new work.
 
-    :param state: What the configuration in force says: ``serving`` or ``leaving``.
-    :param report: The newest report of the back end that reached this node.
-    :param failed_at: When it last failed this node, in seconds.
+    :param state: State in the configuration in force: ``serving`` or ``leaving``.
+    :param report: The newest report of the back end that reached this node, if any.
+    :param now: Monotonic, in seconds.
+    :param failed_at: When the back end last failed this node, monotonic, in seconds.
     """
     if state == "leaving" or now - failed_at < PENALTY:
         return False
@@ -53,6 +55,6 @@
         return False
     if need.min_version < 0:
         return True
-    # Training work only where the engine itself reported a version that will do.
+    # A version that the engine did not report itself is not assumed.
     known = report.versions.get(need.model, -1) if report else -1
     return known >= need.min_version
--- a/packages/saddledoor/src/saddledoor/_codes.py
+++ b/packages/saddledoor/src/saddledoor/_codes.py
@@ -15,7 +15,7 @@
 
 class Family(Enum):
     """
-    The three ways a request can end; they never mix.
+    The three kinds of outcome of a request.
     """
 
     DONE = "done"
@@ -25,7 +25,7 @@
 
 class ResultCode(IntEnum):
     """
-    What became of a request. The hundred gives the family.
+    Outcome of a request. The range of the number gives the family.
     """
 
     DONE = 100
@@ -56,7 +56,7 @@
     @property
     def family(self) -> Family:
         """
-        The family that the code belongs to; a caller's fault never ran.
+        The family of the code; requests that are refused as invalid (4xx) did not run.
         """
         if self < ResultCode.OVERLOADED:
             return Family.DONE
@@ -72,7 +72,7 @@
         return _TABLE[self][0]
 
 
-# HTTP status, meaning, what a caller should do.
+# HTTP status, meaning, action of the caller.
 _TABLE: dict[ResultCode, tuple[int, str, str]] = {
     ResultCode.DONE: (200, "the whole answer of this request", "use it"),
     ResultCode.OVERLOADED: (
@@ -164,7 +164,7 @@
 
 def describe() -> tuple[tuple[ResultCode, int, str, str], ...]:
     """
-    Return the table of the docs: code, HTTP status, meaning, what a caller should do.
+    Return the table of the docs: code, HTTP status, meaning, action of the caller.
     """
     return tuple((code, *_TABLE[code]) for code in ResultCode)
 
@@ -172,11 +172,12 @@
 @dataclass(frozen=True)
 class NotRun:
     """
-    No byte of the request reached a back end, or the back end vouches for that.
+    The request did not run: no byte of it reached a back end, or the back end reported
+    that it did not start the request.
 
     :param code: A code of the family ``NOT_RUN``.
-    :param detail: For people.
-    :param retry_after: When to come back, in seconds.
+    :param detail: Reason in human-readable form.
+    :param retry_after: When the caller may retry, in seconds.
     """
 
     code: ResultCode
@@ -191,10 +192,10 @@
 @dataclass(frozen=True)
 class OutcomeUnknown:
     """
-    The request may have run. Never repeated here if it is unrepeatable.
+    The request may have run. An unrepeatable one is not sent again.
 
     :param code: A code of the family ``UNKNOWN``.
-    :param detail: For people.
+    :param detail: Reason in human-readable form.
     """
 
     code: ResultCode
--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The planned stop: what a VM still does after it was told to end, and when it may.
+Graceful shutdown of a VM: when it may hand over its leases and when it may stop.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 class Stage(StrEnum):
     """
-    How far a VM is on its way out.
+    Stage of a VM's shutdown.
     """
 
     SERVING = "serving"
@@ -26,13 +26,18 @@
 @dataclass
 class Drain:
     """
-    Decides when a VM that was told to stop may do so.
-
-    Callers' requests are taken until the very end: the balancer goes on sending for
-    some seconds after the VM said that it is not ready.
-
-    :param lame_duck: How long it goes on taking what is sent to it, in seconds.
-    :param limit: Longest wait for what is in flight after that, in seconds.
+    Decides when a VM that was asked to stop may do so.
+
+    Requests are accepted until the process ends, since the balancer goes on sending
+    them for some seconds after the VM reports that it is not ready.
+
+    :param lame_duck: How long the VM keeps serving after the request to stop, in
+        seconds.
+    :param limit: Longest wait after that for requests in flight, in seconds.
+    :param told_at: When the stop was requested, monotonic, in seconds; none before.
+    :param told_again: Whether an immediate stop was requested.
+    :param handed_over: Whether leases and finished samples were handed to a peer.
+    :param stopped: Whether the process is ending.
     """
 
     lame_duck: float
@@ -45,7 +50,7 @@
     @property
     def stage(self) -> Stage:
         """
-        The stage that peers and the balancer are told.
+        The stage that is reported to peers and to the balancer.
         """
         if self.stopped:
             return Stage.STOPPED
@@ -53,7 +58,9 @@
 
     def tell(self, now: float) -> None:
         """
-        Take a signal; the second one ends the VM at once.
+        Handle a stop signal; the second one stops the VM at once.
+
+        :param now: Monotonic, in seconds.
         """
         if self.told_at is None:
             self.told_at = now
@@ -62,24 +69,30 @@
 
     def may_hand_over(self, now: float, in_flight: int) -> bool:
         """
-        Tell whether leases and finished samples may go to a peer now.
+        Return whether leases and finished samples may be handed to a peer now.
+
+        :param now: Monotonic, in seconds.
+        :param in_flight: Number of requests in flight.
         """
         if self.told_at is None:
             return False
-        after = now - self.told_at
-        if after < self.lame_duck:
+        elapsed = now - self.told_at
+        if elapsed < self.lame_duck:
             return False
-        return in_flight == 0 or self._out_of_time(now)
+        return in_flight == 0 or self._is_past_limit(now)
 
     def may_stop(self, now: float, in_flight: int) -> bool:
         """
-        Tell whether the process may end now.
+        Return whether the process may end now.
+
+        :param now: Monotonic, in seconds.
+        :param in_flight: Number of requests in flight.
         """
         if self.told_again:
             return True
         if self.told_at is None or not self.handed_over:
             return False
-        return in_flight == 0 or self._out_of_time(now)
+        return in_flight == 0 or self._is_past_limit(now)
 
-    def _out_of_time(self, now: float) -> bool:
+    def _is_past_limit(self, now: float) -> bool:
         return now - self.told_at >= self.lame_duck + self.limit
--- a/packages/saddledoor/src/saddledoor/_engine_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_engine_attempts.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-One request's attempts at engines: how many more there may be, and where again.
+Limits on the attempts of one request: how many engines, and when to retry one.
 """
 
 from __future__ import annotations
@@ -14,36 +14,33 @@
 
 __all__ = ["AttemptEnd", "EngineAttempt", "EngineAttempts"]
 
-#: Pause before a request goes again to the same engine, in seconds, doubled with each
-#: attempt there: twice the usual work of a look-up (40 ms), so that an engine that is
-#: full for a moment has answered one request; and with doubling a request of 2 s comes
-#: to one engine five times at most.
-_PAUSE = 0.1
-#: The same after the engine has run the request and failed, which uses up an attempt: a
-#: failure that lasts 0.3 s is over then, and the request has attempts left.
-_FAILED_PAUSE = 0.4
+#: Delay before the first retry at the same engine, in seconds; doubled with each
+#: further attempt there.
+_RETRY_DELAY = 0.1
+#: The same after an attempt that the engine ran and failed, in seconds.
+_FAILED_RETRY_DELAY = 0.4
 
 
 class AttemptEnd(Enum):
     """
-    How an attempt ended, as far as it says whether the engine may have it again.
+    Outcome of an attempt; it determines whether the engine may be tried again.
     """
 
     RUNNING = "running"
-    #: The engine has not begun to run the request.
+    #: The engine did not begin to run the request.
     NOT_RUN = "not_run"
-    #: The engine answered, but not with a usable answer of this request.
+    #: The engine answered, but without a valid answer to this request.
     UNUSABLE = "unusable"
     #: The engine ran the request and failed.
     FAILED = "failed"
-    #: No answer came: the engine may still run the request, or may have ended under it.
+    #: No answer came: the engine may still run the request, or may have crashed.
     BROKEN = "broken"
 
 
-#: Ends after which the engine lives and is done with the request.
-_MAY_RETURN = frozenset({AttemptEnd.NOT_RUN, AttemptEnd.UNUSABLE, AttemptEnd.FAILED})
-#: Ends that use up an attempt: the engine may be at work on it or has failed on it.
-_SPENT = frozenset({AttemptEnd.RUNNING, AttemptEnd.FAILED, AttemptEnd.BROKEN})
+#: Outcomes after which the engine is known to run and no longer works on the request.
+_RETRYABLE = frozenset({AttemptEnd.NOT_RUN, AttemptEnd.UNUSABLE, AttemptEnd.FAILED})
+#: Outcomes that count against the attempt limit: the engine may have run the request.
+_COUNTED = frozenset({AttemptEnd.RUNNING, AttemptEnd.FAILED, AttemptEnd.BROKEN})
 
 
 @dataclass(eq=False)
@@ -51,15 +48,15 @@
     """
     One attempt.
 
-    :param ended_at: Monotonic, in seconds; none while it runs.
+    :param ended_at: Monotonic, in seconds; none while the attempt runs.
     """
 
     engine: Incarnation
-    end: AttemptEnd = AttemptEnd.RUNNING
+    outcome: AttemptEnd = AttemptEnd.RUNNING
     ended_at: float | None = None
 
-    def finish(self, end: AttemptEnd, now: float) -> None:
-        self.end = end
+    def finish(self, outcome: AttemptEnd, now: float) -> None:
+        self.outcome = outcome
         self.ended_at = now
 
 
@@ -67,26 +64,22 @@
     """
     The attempts of one request.
 
-    Without a second attempt at the same engine, one unusable answer and one slow engine
-    of two leave a request nowhere to go: in 5 of 24 soaks of 6 s a caller got no answer
-    though 1.99 s were left when the first engine had answered.
-
-    :param most: Engines that the request may be sent to, a count; and attempts that an
-        engine may be at work on or has failed on.
-    :param repeatable: Whether it may run more than once.
+    :param most: Limit both of the engines that the request may be sent to and of the
+        attempts in which an engine may have run it.
+    :param repeatable: Whether the request may run more than once.
     """
 
     @property
     def engines(self) -> list[Incarnation]:
         """
-        The engines that have had the request, in order.
+        The engines that the request was sent to, in order of the first attempt.
         """
         return list(dict.fromkeys(attempt.engine for attempt in self._attempts))
 
     @property
     def count(self) -> int:
         """
-        Attempts so far, a count.
+        Number of attempts so far.
         """
         return len(self._attempts)
 
@@ -97,7 +90,7 @@
 
     def begin(self, engine: Incarnation) -> EngineAttempt:
         """
-        Note an attempt that begins now.
+        Record an attempt that begins now.
         """
         attempt = EngineAttempt(engine)
         self._attempts.append(attempt)
@@ -105,31 +98,35 @@
 
     def may_go_on(self) -> bool:
         """
-        Whether the request may be sent to one engine more.
+        Return whether the request may be sent to another engine.
         """
         return len(self.engines) < self._most and self._has_attempts_left()
 
     def may_return_at(self) -> dict[Incarnation, float]:
         """
-        Return the engines that may have the request again, and each one's earliest
+        Return the engines that the request may be sent to again, each with the earliest
         time, monotonic, in seconds.
 
-        None that has it now or where it broke off: that engine may still run it, or
-        has ended, perhaps under it.
+        Engines with a running or broken attempt are left out: they may still run the
+        request, or may have crashed because of it.
         """
         if not self._repeatable or not self._has_attempts_left():
             return {}
         return {
-            engine: self._rested_at(engine)
+            engine: self._earliest_retry_time(engine)
             for engine in self.engines
-            if all(a.end in _MAY_RETURN for a in self._attempts if a.engine == engine)
+            if all(
+                a.outcome in _RETRYABLE for a in self._attempts if a.engine == engine
+            )
         }
 
     def _has_attempts_left(self) -> bool:
-        return sum(a.end in _SPENT for a in self._attempts) < self._most
-
-    def _rested_at(self, engine: Incarnation) -> float:
-        there = [a for a in self._attempts if a.engine == engine]
-        newest = there[-1]
-        pause = _FAILED_PAUSE if newest.end is AttemptEnd.FAILED else _PAUSE
-        return (newest.ended_at or 0.0) + pause * 2 ** (len(there) - 1)
+        return sum(a.outcome in _COUNTED for a in self._attempts) < self._most
+
+    def _earliest_retry_time(self, engine: Incarnation) -> float:
+        attempts = [a for a in self._attempts if a.engine == engine]
+        latest = attempts[-1]
+        delay = (
+            _FAILED_RETRY_DELAY if latest.outcome is AttemptEnd.FAILED else _RETRY_DELAY
+        )
+        return (latest.ended_at or 0.0) + delay * 2 ** (len(attempts) - 1)
--- a/packages/saddledoor/src/saddledoor/_engine_directory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_directory.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which engines may get work, from the entries they write of themselves.
+Registry of engines, built from the entries that engines write to the store.
 """
 
 from __future__ import annotations
@@ -15,22 +15,21 @@
 
 __all__ = ["EngineDirectory", "EngineEntry"]
 
-#: How long after the store's return a missing entry may still come back, in seconds;
-#: the users' letter says about two.
-_RETURN_WINDOW = 2.5
+#: How long after the store's recovery a missing entry is still used, in seconds;
+#: engines write their entries again within about two seconds.
+_MISSING_ENTRY_GRACE = 2.5
 
 
 @dataclass(frozen=True)
 class EngineEntry:
     """
-    What an engine says of itself.
-
-    :param engine_id: Its name, which a restart may keep.
-    :param address: Host and port; may come back as another engine's.
-    :param slots: Requests it works on at once, a count.
-    :param versions: Weight version of each model it holds.
-    :param started_at: Start of its process, in Unix milliseconds; none if it does not
-        say.
+    An engine's own entry in the registry.
+
+    :param engine_id: Name of the engine; a restart may keep it.
+    :param address: Host and port; may later be reused by another engine.
+    :param slots: Number of requests that the engine runs concurrently.
+    :param versions: Weight version of each model that is loaded.
+    :param started_at: Start of the process, in Unix milliseconds; none if not given.
     """
 
     engine_id: str
@@ -45,104 +44,110 @@
     @cached_property
     def incarnation(self) -> Incarnation:
         """
-        The life that this entry speaks of.
+        The incarnation that wrote this entry.
         """
         return Incarnation(self.engine_id, self.started_at)
 
 
 class EngineDirectory:
     """
-    The entries as last read, and what became of those that went missing.
+    The entries as last read, and those that are missing after a store outage.
     """
 
     def __init__(self) -> None:
         self._entries: dict[str, EngineEntry] = {}
         self._missing: dict[str, tuple[EngineEntry, float]] = {}
-        self._earlier: set[str] = set()
-        self._store_back_at = float("-inf")
+        self._outdated_ignored: set[str] = set()
+        self._store_recovered_at = float("-inf")
 
     def put(self, entry: EngineEntry) -> bool:
         """
-        Take an entry that an engine wrote.
+        Store an entry that an engine wrote.
 
-        One of an earlier life is passed over: a write may be done seconds after the
-        engine that sent it has crashed. A second one in a row is taken, since an engine
-        that lives goes on writing, and an entry that wrongly claims a later start must
-        not shut it out.
+        An entry of an earlier incarnation is ignored once: a write may take effect
+        seconds after the engine that sent it has crashed. A second one in a row is
+        stored, since only a running engine keeps writing; otherwise one entry with a
+        wrong, later start time would hide the engine for good.
 
-        :returns: Whether it was taken.
+        :returns: Whether the entry was stored.
         """
         engine_id = entry.engine_id
-        known = self._entries.get(engine_id)
-        is_earlier = known is not None and known.incarnation.follows(entry.incarnation)
-        if is_earlier and engine_id not in self._earlier:
-            self._earlier.add(engine_id)
+        current = self._entries.get(engine_id)
+        is_outdated = current is not None and current.incarnation.follows(
+            entry.incarnation
+        )
+        if is_outdated and engine_id not in self._outdated_ignored:
+            self._outdated_ignored.add(engine_id)
             return False
-        self._earlier.discard(engine_id)
+        self._outdated_ignored.discard(engine_id)
         self._entries[engine_id] = entry
         self._missing.pop(engine_id, None)
         return True
 
     def remove(self, engine_id: str, now: float) -> None:
         """
-        Note that an entry is gone.
+        Handle the removal of an entry.
 
-        While the store is away entries lapse by themselves. One that is missing after
-        its return is used until a living engine would have written it again; at any
-        other time the engine is leaving.
+        Entries expire during a store outage. An entry that is missing after the store's
+        recovery stays usable until a running engine would have written it again. At any
+        other time a removed entry means that the engine is leaving.
 
         :param now: Monotonic, in seconds.
         """
         entry = self._entries.pop(engine_id, None)
-        self._earlier.discard(engine_id)
+        self._outdated_ignored.discard(engine_id)
         if entry is None or entry.draining:
             return
-        returns_until = self._store_back_at + _RETURN_WINDOW
-        if now < returns_until:
-            self._missing[engine_id] = (entry, returns_until)
+        usable_until = self._store_recovered_at + _MISSING_ENTRY_GRACE
+        if now < usable_until:
+            self._missing[engine_id] = (entry, usable_until)
 
     def drop(self, engine_id: str) -> None:
         """
-        Note that what stands under an engine's id names no engine any more.
+        Drop an entry that was overwritten by a value that is no engine entry.
 
-        At once, also after the store's return: nothing has lapsed.
+        It takes effect at once, also after a store outage, since the entry did not
+        expire.
         """
         self._entries.pop(engine_id, None)
         self._missing.pop(engine_id, None)
-        self._earlier.discard(engine_id)
+        self._outdated_ignored.discard(engine_id)
 
     def store_regained(self, now: float) -> None:
         """
-        Note that the store answers again.
+        Record that the store answers again.
+
+        :param now: Monotonic, in seconds.
         """
-        self._store_back_at = now
+        self._store_recovered_at = now
 
     def known_ids(self) -> set[str]:
         """
-        Return the engines that have an entry.
+        Return the ids of the engines that have an entry.
         """
         return set(self._entries)
 
     def get(self, engine_id: str) -> EngineEntry | None:
         """
-        Return an engine's entry, or none if it has none any more.
+        Return an engine's entry, or none.
         """
         return self._entries.get(engine_id)
 
     def usable(self, service: str, now: float) -> list[EngineEntry]:
         """
-        Return the engines of a service that may get new work.
+        Return the engines of a service that may get new work: those that are not
+        draining.
 
         :param now: Monotonic, in seconds.
         """
-        found = [
+        usable_entries = [
             entry
             for entry in self._entries.values()
             if entry.service == service and not entry.draining
         ]
-        for engine_id, (entry, until) in list(self._missing.items()):
-            if now >= until:
+        for engine_id, (entry, usable_until) in list(self._missing.items()):
+            if now >= usable_until:
                 del self._missing[engine_id]
             elif entry.service == service:
-                found.append(entry)
-        return found
+                usable_entries.append(entry)
+        return usable_entries
--- a/packages/saddledoor/src/saddledoor/_engine_ends.py
+++ b/packages/saddledoor/src/saddledoor/_engine_ends.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which requests end the engines that run them, and which were only there.
+Detection of poison requests: requests that crash the engines that run them.
 """
 
 from __future__ import annotations
@@ -17,28 +17,29 @@
 
 __all__ = ["EngineEnds", "Standing", "request_key"]
 
-#: Ends under which a request was that make it one that ends engines, a count: an engine
-#: may end by itself, and twice by chance.
-_ENOUGH = 3
-#: Longest time for which an end is remembered after somebody told of it, in seconds:
-#: well below the 300 s for which the log keeps records.
-_REMEMBER = 240.0
-#: Age from which what speaks against a request that is still asked for is told again.
-_TELL_AGAIN = 60.0
-#: Ends that are remembered, a count; the oldest go first. A site of 1,200 engines that
-#: all end within 4 minutes forgets some of them, and learns of their cause again.
-_MOST_ENDS = 256
-#: Requests of one end, a count: an engine has 12 slots, and some wait.
-_MOST_REQUESTS = 64
+#: Crashes with a request in flight after which it may be quarantined; fewer may be
+#: coincidence.
+_QUARANTINE_THRESHOLD = 3
+#: How long a crash is remembered after its last report, in seconds; shorter than the
+#: log's retention of records.
+_RETENTION = 240.0
+#: Age of a report, in seconds, after which the crash is published again if a request
+#: that it quarantines is still being sent.
+_REPUBLISH_AFTER = 60.0
+#: Maximum number of crashes that are remembered; the oldest are evicted first.
+_MAX_CRASHES = 256
+#: Maximum number of requests that are remembered for one crash.
+_MAX_REQUESTS_PER_CRASH = 64
 
 
 def request_key(host: str, method: str, target: str, body: bytes, name: str) -> str:
     """
-    Return what tells a request from others when it comes again, at any VM.
+    Return a digest that identifies a request when it is sent again, to any VM.
 
-    Callers of one data centre share a few addresses, so these tell nobody apart.
+    The caller's address is not part of it, since many callers share one address.
 
-    :param name: Of a request that keeps its name when it is sent again; else empty.
+    :param name: Identifier that the caller keeps across retries; empty if it sends
+        none.
     """
     digest = hashlib.blake2b(digest_size=12)
     for part in (host.encode(), method.encode(), target.encode(), name.encode(), body):
@@ -49,150 +50,173 @@
 
 class Standing(Enum):
     """
-    What the ends of engines say of a request.
+    Whether a request is suspected of crashing engines.
     """
 
-    #: Nothing.
+    #: No unattributed crash happened while the request was in flight.
     FREE = "free"
-    #: It was there, as others may have been; it runs, best without another suspect.
+    #: The request was in flight at too few crashes for a quarantine. It still runs,
+    #: preferably not on an engine that runs another suspect.
     SUSPECT = "suspect"
-    #: It was there as often as one that ends engines, but never as the only suspect: it
-    #: runs only where no other suspect does.
+    #: The request was in flight at enough crashes, but never as the only suspect. It
+    #: runs only on an engine that runs no other suspect.
     UNCLEAR = "unclear"
-    #: It ends engines, and no engine gets it.
+    #: A poison request; it is sent to no engine.
     BARRED = "barred"
 
 
 @dataclass
-class _End:
+class _Crash:
     """
-    The end of an engine's life.
+    The crash of an engine.
 
-    :param requests: That it had begun to run just before.
-    :param told_at: When anybody told of it last, monotonic, in seconds.
+    :param reported_at: Time of the last report of the crash, monotonic, in seconds.
+    :param requests: Keys of the requests that the engine had just begun to run.
     """
 
-    told_at: float
+    reported_at: float
     requests: set[str] = field(default_factory=set)
 
 
 class EngineEnds:
     """
-    The ends of engines that anybody saw, folded from the log.
-
-    A request is barred after three ends if at one of them no other request was there
-    that any other end speaks against. An end that a barred request explains speaks
-    against nobody else, and an answer takes back all that speaks against a request.
-    So what is barred follows from what is known now, and is corrected by what comes
-    late. In a play with 13 VMs a request that nobody remembered ended 10 instances of
-    four; the requests beside it were at one or two of those ends.
+    Engine crashes reported by all VMs, folded from the log.
+
+    A request is quarantined after three crashes if, at one of them, every other request
+    in flight was in flight at no other unattributed crash. A crash with a quarantined
+    request in flight is attributed to that request and counts against no other one. A
+    successful run of a request clears it. The quarantine is computed anew from all
+    remembered crashes, so late records correct it.
     """
 
     def __init__(self) -> None:
-        self._ends: OrderedDict[Incarnation, _End] = OrderedDict()
-        self._barred: set[str] = set()
-        # How many ends speak against a request that is not barred.
-        self._blame: Counter[str] = Counter()
+        self._crashes: OrderedDict[Incarnation, _Crash] = OrderedDict()
+        self._quarantined: set[str] = set()
+        # By request: unattributed crashes with the request in flight.
+        self._crash_counts: Counter[str] = Counter()
 
     def __len__(self) -> int:
-        return len(self._ends)
+        return len(self._crashes)
 
     def apply(self, record: object, now: float) -> None:
         """
-        Fold one record; others than of ends and answers change nothing.
+        Fold one record; record types other than crashes and clearances are ignored.
 
         :param now: Monotonic, in seconds.
         """
         match record:
             case EngineEnded():
-                self._end(record, now)
+                self._record_crash(record, now)
             case RequestsCleared():
-                for end in self._ends.values():
-                    end.requests.difference_update(record.requests)
+                for crash in self._crashes.values():
+                    crash.requests.difference_update(record.requests)
             case _:
                 return
-        self._forget(now)
-        self._judge()
+        self._evict(now)
+        self._classify()
 
     def standing(self, key: str, now: float) -> Standing:
         """
-        Return what is known of a request.
+        Return the status of a request.
+
+        :param now: Monotonic, in seconds.
         """
-        if self._forget(now):
-            self._judge()
-        if key in self._barred:
+        if self._evict(now):
+            self._classify()
+        if key in self._quarantined:
             return Standing.BARRED
-        blame = self._blame[key]
-        if not blame:
+        crash_count = self._crash_counts[key]
+        if not crash_count:
             return Standing.FREE
-        return Standing.SUSPECT if blame < _ENOUGH else Standing.UNCLEAR
+        return (
+            Standing.SUSPECT
+            if crash_count < _QUARANTINE_THRESHOLD
+            else Standing.UNCLEAR
+        )
 
     def speaks_against(self, key: str) -> bool:
         """
-        Whether a request was at any end that is remembered.
+        Return whether a request was in flight at any remembered crash.
         """
-        return any(key in end.requests for end in self._ends.values())
+        return any(key in crash.requests for crash in self._crashes.values())
 
     def to_tell_again(self, key: str, now: float) -> list[EngineEnded]:
         """
-        Return what bars a request if the log may forget it before the request does.
+        Return the crashes to publish again so that a quarantine outlives the log's
+        retention of the first reports.
+
+        :param now: Monotonic, in seconds.
         """
-        ends = [(i, end) for i, end in self._ends.items() if key in end.requests]
-        old = [(i, end) for i, end in ends if now - end.told_at > _TELL_AGAIN]
-        if not old or len(ends) - len(old) >= _ENOUGH:
+        crashes = [
+            (i, crash) for i, crash in self._crashes.items() if key in crash.requests
+        ]
+        old = [
+            (i, crash)
+            for i, crash in crashes
+            if now - crash.reported_at > _REPUBLISH_AFTER
+        ]
+        if not old or len(crashes) - len(old) >= _QUARANTINE_THRESHOLD:
             return []
-        for incarnation, end in old:
-            end.told_at = now
-            self._ends.move_to_end(incarnation)
+        for incarnation, crash in old:
+            crash.reported_at = now
+            self._crashes.move_to_end(incarnation)
         return [
-            EngineEnded(i.engine_id, i.started_at, tuple(sorted(end.requests)))
-            for i, end in old
+            EngineEnded(i.engine_id, i.started_at, tuple(sorted(crash.requests)))
+            for i, crash in old
         ]
 
-    def _end(self, record: EngineEnded, now: float) -> None:
+    def _record_crash(self, record: EngineEnded, now: float) -> None:
         incarnation = Incarnation(record.engine, record.started_at)
-        end = self._ends.setdefault(incarnation, _End(now))
-        end.told_at = now
-        self._ends.move_to_end(incarnation)
-        room = max(0, _MOST_REQUESTS - len(end.requests))
-        end.requests.update(record.requests[:room])
+        crash = self._crashes.setdefault(incarnation, _Crash(now))
+        crash.reported_at = now
+        self._crashes.move_to_end(incarnation)
+        room = max(0, _MAX_REQUESTS_PER_CRASH - len(crash.requests))
+        crash.requests.update(record.requests[:room])
 
-    def _forget(self, now: float) -> bool:
+    def _evict(self, now: float) -> bool:
         """
-        Drop what is too old or too much; return whether there was any.
+        Drop crashes that are too old or too many; return whether any was dropped.
         """
-        before = len(self._ends)
-        while self._ends:
-            oldest = next(iter(self._ends.values()))
-            too_many = len(self._ends) > _MOST_ENDS
-            if not too_many and now - oldest.told_at <= _REMEMBER:
+        before = len(self._crashes)
+        while self._crashes:
+            oldest = next(iter(self._crashes.values()))
+            is_full = len(self._crashes) > _MAX_CRASHES
+            if not is_full and now - oldest.reported_at <= _RETENTION:
                 break
-            self._ends.popitem(last=False)
-        return len(self._ends) < before
+            self._crashes.popitem(last=False)
+        return len(self._crashes) < before
 
-    def _judge(self) -> None:
+    def _classify(self) -> None:
         """
-        Work out anew which requests are barred, the one with the most ends first.
+        Compute the quarantined requests anew, those with the most crashes first.
         """
-        self._barred = set()
+        self._quarantined = set()
         while True:
-            unexplained = self._unexplained()
-            counts = Counter(key for end in unexplained for key in end.requests)
-            self._blame = counts
-            often = {key for key, count in counts.items() if count >= _ENOUGH}
-            found = [
-                (counts[key], key)
-                for end in unexplained
-                for key in end.requests & often
-                if all(counts[other] == 1 for other in end.requests - {key})
+            unattributed = self._unattributed()
+            crash_counts = Counter(
+                key for crash in unattributed for key in crash.requests
+            )
+            self._crash_counts = crash_counts
+            frequent = {
+                key
+                for key, count in crash_counts.items()
+                if count >= _QUARANTINE_THRESHOLD
+            }
+            candidates = [
+                (crash_counts[key], key)
+                for crash in unattributed
+                for key in crash.requests & frequent
+                if all(crash_counts[other] == 1 for other in crash.requests - {key})
             ]
-            if not found:
+            if not candidates:
                 return
-            self._barred.add(max(found)[1])
+            self._quarantined.add(max(candidates)[1])
 
-    def _unexplained(self) -> list[_End]:
+    def _unattributed(self) -> list[_Crash]:
         """
-        Return the ends at which no barred request was.
+        Return the crashes at which no quarantined request was in flight.
         """
-        ends = self._ends.values()
-        return [end for end in ends if end.requests.isdisjoint(self._barred)]
+        crashes = self._crashes.values()
+        return [
+            crash for crash in crashes if crash.requests.isdisjoint(self._quarantined)
+        ]
--- a/packages/saddledoor/src/saddledoor/_engine_memory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_memory.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Everything that is remembered of engines, forgotten as one when a life of one ends.
+Per-incarnation state of engines, discarded when the incarnation ends.
 """
 
 from __future__ import annotations
@@ -19,17 +19,19 @@
 
 class EngineTable(Generic[T]):
     """
-    A row for each life of an engine; made by `EngineMemory.table`.
+    State by engine incarnation; created by `EngineStateRegistry.table`.
     """
 
-    def __init__(self, make: Callable[[], T], ended: Callable[[T], None]) -> None:
-        self._make = make
-        self._ended = ended
+    def __init__(
+        self, new_row: Callable[[], T], on_discard: Callable[[T], None]
+    ) -> None:
+        self._new_row = new_row
+        self._on_discard = on_discard
         self._rows: dict[Incarnation, T] = {}
 
     def __getitem__(self, incarnation: Incarnation) -> T:
         if incarnation not in self._rows:
-            self._rows[incarnation] = self._make()
+            self._rows[incarnation] = self._new_row()
         return self._rows[incarnation]
 
     def __iter__(self) -> Iterator[Incarnation]:
@@ -37,57 +39,57 @@
 
     def get(self, incarnation: Incarnation) -> T | None:
         """
-        Return a row, or none if nothing is remembered.
+        Return a row, or none if the incarnation has none.
         """
         return self._rows.get(incarnation)
 
     def rows(self) -> list[T]:
         """
-        Return the rows of all lives.
+        Return the rows of all incarnations.
         """
         return list(self._rows.values())
 
     def forget(self, incarnation: Incarnation) -> None:
         """
-        Drop a row and have what depends on it ended.
+        Drop the row of an incarnation and call the table's callback with it.
         """
         row = self._rows.pop(incarnation, None)
         if row is not None:
-            self._ended(row)
+            self._on_discard(row)
 
 
-def _nothing(_: object) -> None:
+def _ignore(_: object) -> None:
     pass
 
 
 class EngineMemory:
     """
-    The tables of all who remember something of an engine.
+    All tables of engine state, so that an incarnation is dropped from all of them at
+    once.
 
-    Kept by the engine's id, or in a place of its own, a memory outlives what it speaks
-    of: an engine that had started again was taken to hold the weights of its life
-    before, and was never loaded again.
+    State that outlives an incarnation would be applied to the restarted engine, which
+    has, for example, lost the weights that it held before.
     """
 
     def __init__(self) -> None:
         self._tables: list[EngineTable] = []
 
     def table(
-        self, make: Callable[[], T], ended: Callable[[T], None] = _nothing
+        self, new_row: Callable[[], T], on_discard: Callable[[T], None] = _ignore
     ) -> EngineTable[T]:
         """
-        Return a new table.
+        Create a table.
 
-        :param make: Returns the row of a life of which nothing is remembered yet.
-        :param ended: Called with the row of a life that is over.
+        :param new_row: Creates the row of an incarnation on its first use.
+        :param on_discard: Called with each row that is dropped.
         """
-        table = EngineTable(make, ended)
+        table = EngineTable(new_row, on_discard)
         self._tables.append(table)
         return table
 
     def forget(self, incarnation: Incarnation) -> None:
         """
-        Drop all that is remembered of a life.
+        Drop the rows of an incarnation from all tables.
         """
         for table in self._tables:
             table.forget(incarnation)
--- a/packages/saddledoor/src/saddledoor/_event_text.py
+++ b/packages/saddledoor/src/saddledoor/_event_text.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A text put together from numbered events of one or more runs.
+Assembly of a text from numbered events of one or more runs.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     """
     An event of an engine's stream.
 
-    :param number: From 1, without gaps within one text.
-    :param version: Weight version that made it.
+    :param number: Position in the text, from 1, without gaps.
+    :param version: Weight version that made the event; none if unknown.
     """
 
     number: int
@@ -29,11 +29,12 @@
 @dataclass(frozen=True)
 class KeptText:
     """
-    A part of a text, and what is known of the whole up to its end.
+    Consecutive events of a text.
 
-    :param events: Data of its events, in order.
-    :param versions: Weight versions that made the text so far, in order of appearance.
-    :param chain: Names the run of the last of them; empty for no events.
+    :param events: Data of the events, in order.
+    :param versions: Weight versions that made the text up to the last of these events,
+        in order of appearance.
+    :param chain: Id of the run that made the last event; empty without events.
     """
 
     events: tuple[str, ...] = ()
@@ -43,16 +44,16 @@
 
 class EventText:
     """
-    Takes events in order; a later run goes on after the last one taken.
+    Collects events in order; a later run resumes after the last collected event.
 
-    :param chain: Names what this node takes, among all nodes that run the item.
-    :param kept: What others have made of the text.
+    :param chain: Id of this node's run, unique among all nodes that run the item.
+    :param kept: Beginning of the text, made by earlier runs; none to start anew.
     """
 
     @property
     def last(self) -> int:
         """
-        Number of the newest event; 0 before the first.
+        Number of the last event; 0 before the first.
         """
         return len(self._events)
 
@@ -66,7 +67,7 @@
     @property
     def text(self) -> str:
         """
-        Data of all events, with line feeds between them.
+        Data of all events, joined by line feeds.
         """
         return "\n".join(self._events)
 
@@ -77,10 +78,11 @@
 
     def take(self, event: GeneratedEvent, oldest_version: int) -> bool:
         """
-        Take the next event.
+        Append an event.
 
-        :returns: False if it is not the next one, or if the weights that made it are
-            unknown or too old; nothing was taken then.
+        :param oldest_version: Oldest acceptable weight version.
+        :returns: False if the event is not the next one, or if its weight version is
+            unknown or too old; it is not appended then.
         """
         if event.number != len(self._events) + 1:
             return False
@@ -93,7 +95,7 @@
 
     def since(self, number: int) -> KeptText:
         """
-        Return the events after one, with the versions that made any of the text.
+        Return the events after an event number, with the versions of the whole text.
         """
         events = tuple(self._events[number:])
         return KeptText(events, tuple(self._versions), self._chain)
--- a/packages/saddledoor/src/saddledoor/_incarnation.py
+++ b/packages/saddledoor/src/saddledoor/_incarnation.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-One life of an engine, from a start of its process to its end.
+Identity of one process of an engine.
 """
 
 from __future__ import annotations
@@ -15,14 +15,13 @@
 @dataclass(frozen=True)
 class Incarnation:
     """
-    What anything remembered of an engine is remembered of.
+    An engine between one start of its process and the next: the key of engine state.
 
-    An engine may start again under its id. It then holds nothing of what it held, so
-    an id alone is the key of its address only.
+    An engine may restart under the same id and then has lost its state, so the id
+    alone only identifies its registry entry.
 
-    :param engine_id: As the engine names itself, in each of its lives.
-    :param started_at: Start of the process, in Unix milliseconds; none if it does not
-        say.
+    :param engine_id: Name of the engine, the same in each incarnation.
+    :param started_at: Start of the process, in Unix milliseconds; none if not given.
     """
 
     engine_id: str
@@ -33,7 +32,7 @@
 
     def follows(self, other: Incarnation) -> bool:
         """
-        Return whether this is a later life of the same engine.
+        Return whether this is a later incarnation of the same engine.
         """
         if self.engine_id != other.engine_id or self.started_at is None:
             return False
--- a/packages/saddledoor/src/saddledoor/_item_placement.py
+++ b/packages/saddledoor/src/saddledoor/_item_placement.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which engine an item goes to, and when it moves to another one.
+Placement of items on engines, and their moves between engines.
 
-A step is as late as its longest text. Each request that an engine runs makes every
-event of the others a little later, so the long texts get the engines that are fastest
-and least filled, and the short ones, which have time, go where no long one runs.
+A step ends with its longest text, and each request that an engine runs slows down the
+others there. Long texts therefore go to the fastest and least loaded engines, short
+ones to engines without long texts.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 __all__ = ["Seat", "choose_seat", "is_worth_moving"]
 
-#: Gaps that differ by less count as alike, as a ratio: a request more in an engine's
-#: batch makes 1 %, and a mean over a few gaps is not better than that.
-_ALIKE = 1.02
-#: An engine is slow beyond so many times the best one's gap; those that are well differ
-#: by 1.3 for their hardware and by 1.1 for their batch.
-_SLOW = 1.6
-#: What a move costs a text, in seconds: its prompt is read anew (10 ms), it waits for
-#: an event in progress at the other engine (40 ms), over a new connection (10 ms).
+#: Ratio up to which two gaps count as equal.
+_GAP_TOLERANCE = 1.02
+#: Ratio to the smallest gap above which an engine counts as slow; larger than the
+#: differences between healthy engines.
+_SLOW_RATIO = 1.6
+#: Time that a move costs a text, in seconds: prefill of the prompt, the wait for an
+#: event in progress at the other engine, and a new connection.
 _MOVE_COST = 0.06
-#: A move must gain so many times its cost by what is expected, since lengths are
-#: guesses and another engine's pace changes with what is sent there.
+#: Multiple of its cost that a move must be expected to gain, since the text's length
+#: and the other engine's speed are estimates.
 _MOVE_MARGIN = 3.0
-#: And the other engine must be so many times as fast. Engines of one kind differ by up
-#: to 1.1 with what runs there, which changes sooner than a text ends.
-_FASTER = 1.15
+#: Minimum ratio of the current gap to the other engine's; larger than the differences
+#: between engines of one kind, which change with their load.
+_MIN_SPEEDUP = 1.15
 
 
 @dataclass(frozen=True)
 class Seat:
     """
-    An engine that has room and may run an item.
+    An engine with a free slot that may run an item.
 
-    :param running: Items that this node has there, a count.
-    :param long_running: Those of them with a long text, a count.
-    :param gap: Between two events of a stream there lately, in seconds; none if nothing
-        is known of late.
+    :param name: Id of the engine.
+    :param running: Number of items that this node runs there.
+    :param long_running: Number of those items whose text is long.
+    :param gap: Recent time between two events of a stream there, in seconds; none if
+        unknown.
     """
 
     name: str
@@ -52,47 +52,53 @@
 
 
 def choose_seat(
-    seats: Sequence[Seat], best_gap: float | None, is_long: bool
+    candidates: Sequence[Seat], best_gap: float | None, is_long: bool
 ) -> Seat | None:
     """
-    Return the engine for an item, or none without any.
+    Return the engine for an item, or none if there are no candidates.
 
-    A long text goes to the fastest engine; of those alike, where the least runs. A
-    short one goes where the fewest long ones run, unless that is slow.
+    A long text goes to the fastest engine; of equally fast ones, to the least loaded.
+    A short text goes to the engine with the fewest long texts that is not slow.
 
-    :param best_gap: Smallest gap of all engines of the pool, in seconds, if known.
+    :param best_gap: Smallest gap of all engines of the pool, in seconds; none if
+        unknown.
+    :param is_long: Whether the item's text is expected to be long.
     """
-    if not seats:
+    if not candidates:
         return None
 
-    def slowness(seat: Seat) -> float:
-        # An engine of which nothing is known is tried.
-        return seat.gap / best_gap if seat.gap and best_gap else 1.0
+    def slowness(candidate: Seat) -> float:
+        # An engine of unknown speed is tried, so that its speed becomes known.
+        return candidate.gap / best_gap if candidate.gap and best_gap else 1.0
 
-    def long_key(seat: Seat) -> tuple[float, ...]:
-        steps = round(math.log(max(slowness(seat), 1.0), _ALIKE))
-        return steps, seat.long_running, seat.running
+    def long_key(candidate: Seat) -> tuple[float, ...]:
+        slowness_step = round(math.log(max(slowness(candidate), 1.0), _GAP_TOLERANCE))
+        return slowness_step, candidate.long_running, candidate.running
 
-    def short_key(seat: Seat) -> tuple[float, ...]:
-        return slowness(seat) > _SLOW, seat.long_running, seat.running
+    def short_key(candidate: Seat) -> tuple[float, ...]:
+        return (
+            slowness(candidate) > _SLOW_RATIO,
+            candidate.long_running,
+            candidate.running,
+        )
 
-    return min(seats, key=long_key if is_long else short_key)
+    return min(candidates, key=long_key if is_long else short_key)
 
 
 def is_worth_moving(
     events_left: float, gap: float, other_gap: float, moves: int = 0
 ) -> bool:
     """
-    Whether a text ends sooner at another engine, by more than a move may cost.
+    Return whether moving a text to another engine is expected to save enough time.
 
-    Each move must gain twice what the one before had to: texts that follow every change
-    of pace moved up to 15 times and lost 0.03 s each time.
+    The required gain doubles with each move, so that texts do not follow every change
+    of speed.
 
-    :param events_left: Events that it is expected to make yet.
-    :param gap: Between its events where it is, in seconds.
-    :param other_gap: Between events at the other engine, in seconds.
-    :param moves: How often it has moved for its pace, a count.
+    :param events_left: Expected number of further events.
+    :param gap: Time between two events at the current engine, in seconds.
+    :param other_gap: Time between two events at the other engine, in seconds.
+    :param moves: Number of earlier moves to a faster engine.
     """
     gained = events_left * (gap - other_gap)
-    least = _MOVE_MARGIN * _MOVE_COST * 2**moves
-    return gap > _FASTER * other_gap and gained > least
+    required = _MOVE_MARGIN * _MOVE_COST * 2**moves
+    return gap > _MIN_SPEEDUP * other_gap and gained > required
--- a/packages/saddledoor/src/saddledoor/_job_book.py
+++ b/packages/saddledoor/src/saddledoor/_job_book.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Batch jobs as a fold over the log: every node that reads it gives the same answers.
+Batch jobs folded from the log, so that every node gives the same answers.
 
-The log's order decides everything a reader can see. An item's first result record
-makes its position; any later one, by whichever node, changes nothing. So a node that
-wrongly believes it still runs a job can do no harm by what it appends.
+The first result record of an item determines its position among the results; later
+ones are ignored, whichever node appended them. A node that wrongly considers itself
+responsible for a job therefore cannot change its results.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 @dataclass(frozen=True)
 class KeptParts:
     """
-    What the log holds of a text whose run was given up.
+    The beginning of an unfinished text, as stored by the log.
 
-    :param count: Of the events, from the first one on without gaps.
-    :param versions: Weight versions that made them, in order of appearance.
-    :param chain: Names the run of the last of them; empty for no events.
-    :param parts: Their texts, in order.
+    :param count: Number of events, from the first one on without gaps.
+    :param versions: Weight versions that made the events, in order of appearance.
+    :param chain: Id of the run that made the last event; empty without events.
+    :param parts: Where the events are stored, in order.
     """
 
     count: int = 0
@@ -49,12 +49,17 @@
 @dataclass
 class JobState:
     """
-    A job and what the log says of it.
-
-    :param known_since: When this process learnt of it, monotonic, in seconds; the job
-        is at least as old as that says.
-    :param items: By id, in the job's order; none before this node has read them.
-    :param results: In the order of their positions.
+    A job and its state in the log.
+
+    :param order: Position of the job among all jobs, from 1.
+    :param known_since: When this process first read of the job, monotonic, in seconds;
+        a lower bound of the job's age.
+    :param items: Items by id, in the job's order; none before this node has read them.
+    :param results: Results in the order of their positions.
+    :param listed: Ids of the items that have a result.
+    :param failed: Failed runs and failed scoring calls.
+    :param kept: Checkpoints of the unfinished texts, by item id.
+    :param ended: Whether the trainer has ended the job.
     """
 
     job: JobOpened
@@ -70,29 +75,29 @@
     @property
     def is_open(self) -> bool:
         """
-        Whether something is left to run.
+        Whether the job has items left to run.
         """
         return not self.ended and len(self.listed) < self.job.size
 
     def failures(self, item_id: str) -> int:
         """
-        Return how many runs of an item have failed, a count.
+        Return the number of failed runs of an item.
         """
-        return self._count(item_id, scoring=False)
+        return self._count_failures(item_id, scoring=False)
 
     def score_failures(self, item_id: str) -> int:
         """
-        Return how many scoring calls of an item have failed, a count.
+        Return the number of failed scoring calls of an item.
         """
-        return self._count(item_id, scoring=True)
+        return self._count_failures(item_id, scoring=True)
 
-    def _count(self, item_id: str, scoring: bool) -> int:
+    def _count_failures(self, item_id: str, scoring: bool) -> int:
         return sum(f.item_id == item_id and f.scoring == scoring for f in self.failed)
 
     def unlisted(self) -> Iterator[JobItem]:
         """
-        Return the items that have no result, in the order of the job; none before this
-        node has read them.
+        Return the items without a result, in the job's order; no items before this node
+        has read them.
         """
         items = self.items or {}
         return (item for name, item in items.items() if name not in self.listed)
@@ -110,13 +115,13 @@
 
     def get(self, job_id: str) -> JobState | None:
         """
-        Return a job, or none if the log holds none of that name.
+        Return a job, or none if it is unknown.
         """
         return self._jobs.get(job_id)
 
     def open_jobs(self) -> list[JobState]:
         """
-        Return the jobs that have something to run, oldest first.
+        Return the jobs that have items left to run, oldest first.
         """
         return [state for state in self._jobs.values() if state.is_open]
 
@@ -130,8 +135,8 @@
         """
         Fold one record.
 
-        :param now: Monotonic, in seconds; only for the ages of jobs.
-        :returns: The job it belongs to.
+        :param now: Monotonic, in seconds; only used for the ages of jobs.
+        :returns: Id of the record's job.
         """
         if isinstance(record, JobOpened):
             self._open(record, now)
@@ -141,22 +146,22 @@
             _apply_change(state, record)
         return record.job_id
 
-    def forget(self, now: float, ended_for: float, open_for: float) -> None:
+    def forget(self, now: float, ended_retention: float, open_retention: float) -> None:
         """
-        Drop the jobs that nobody may ask for any more.
+        Drop the jobs whose retention has expired.
 
         :param now: Monotonic, in seconds.
-        :param ended_for: Age up to which an ended job is kept, in seconds.
-        :param open_for: Age up to which any job is kept, in seconds.
+        :param ended_retention: Maximum age of an ended job, in seconds.
+        :param open_retention: Maximum age of any other job, in seconds.
         """
         for job_id, state in list(self._jobs.items()):
-            keep = ended_for if state.ended else open_for
-            if now - state.known_since > keep:
+            retention = ended_retention if state.ended else open_retention
+            if now - state.known_since > retention:
                 del self._jobs[job_id]
 
     def _open(self, job: JobOpened, now: float) -> None:
         if job.job_id in self._jobs:
-            # Submitted twice, or its append had lost its answer.
+            # Submitted twice, or appended again after a lost answer.
             return
         self._accepted += 1
         self._jobs[job.job_id] = JobState(job, self._accepted, now)
@@ -176,28 +181,28 @@
         case ItemFailed():
             state.failed.add(record)
         case ItemKept():
-            _keep(state, record)
+            _extend_checkpoint(state, record)
         case JobEnded():
             state.ended = True
             state.kept.clear()
 
 
-def _keep(state: JobState, record: ItemKept) -> None:
+def _extend_checkpoint(state: JobState, record: ItemKept) -> None:
     """
-    Add events that go on exactly where the kept ones end, in the same chain.
+    Extend an item's checkpoint by events that directly follow it in the same chain.
 
-    Two nodes may run an item at once, from the same kept events: what the second one
-    appends must not be joined to what the first one has, even where the numbers fit.
-    A whole text that is longer takes the place of what was kept.
+    Two nodes may run an item concurrently from the same checkpoint. Their events must
+    not be mixed even if the numbers fit, hence the comparison of chains. A record that
+    starts at the first event replaces a shorter checkpoint.
     """
     before = state.kept.get(record.item_id, KeptParts())
     if state.ended or record.item_id in state.listed:
         return
     if record.first == before.count + 1 and record.follows == before.chain:
-        new = [v for v in record.versions if v not in before.versions]
+        new_versions = [v for v in record.versions if v not in before.versions]
         state.kept[record.item_id] = KeptParts(
             before.count + record.count,
-            (*before.versions, *new),
+            (*before.versions, *new_versions),
             record.chain,
             (*before.parts, record.text),
         )
--- a/packages/saddledoor/src/saddledoor/_jobs.py
+++ b/packages/saddledoor/src/saddledoor/_jobs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Batch jobs and the records that the log holds of them.
+Batch jobs and their log records.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     """
     The request that scores a finished text.
 
-    :param request_id: The caller's name for it; it may be repeated.
+    :param request_id: Id given by the caller; the request may be repeated with it.
     """
 
     request_id: str
@@ -41,13 +41,14 @@
 @dataclass(frozen=True)
 class JobItem:
     """
-    A generation that a job asks for.
+    One generation of a job.
 
-    :param headers: Passed on to the engine as they are.
-    :param tokens: Prompt and longest answer together, a count.
-    :param group: Items of one group share their prompt; empty without groups.
-    :param expected_tokens: The trainer's guess of the answer's length, a count; often
-        far off, right at the median; 0 without one.
+    :param headers: Passed on to the engine unchanged.
+    :param tokens: Tokens of the prompt and of the longest allowed answer together.
+    :param group: Group of items that share a prompt; empty without groups.
+    :param score: Request that scores the text; none if it is not scored.
+    :param expected_tokens: The trainer's estimate of the answer's length, in tokens;
+        inaccurate for a single item, right at the median; 0 if there is none.
     """
 
     item_id: str
@@ -63,12 +64,12 @@
 @dataclass(frozen=True)
 class Job:
     """
-    Generations that a trainer submits at once.
+    Generations that a trainer submits together.
 
     :param oldest_version: Oldest weight version that may make a token.
-    :param groups_wanted: Whole groups that the trainer waits for, a count.
-    :param workspace: Whose it is; empty if it was taken without a key, none if there
-        were no workspaces.
+    :param groups_wanted: Number of complete groups that the trainer waits for.
+    :param workspace: Workspace that owns the job; empty if it was accepted without a
+        key, none if no workspaces were configured.
     """
 
     job_id: str
@@ -85,10 +86,10 @@
 @dataclass(frozen=True)
 class StoredText:
     """
-    Where a text is, apart from the records that every node reads.
+    Location of a text in the stream of texts, which nodes read only on demand.
 
-    :param offsets: Its records in the stream of texts, in order.
-    :param size: Of all of them, in bytes.
+    :param offsets: Offsets of its records in the stream, in order.
+    :param size: Total size of these records, in bytes.
     """
 
     offsets: tuple[int, ...] = ()
@@ -98,11 +99,11 @@
 @dataclass(frozen=True)
 class ItemResult:
     """
-    What a reader gets for an item.
+    The result of an item, as callers read it.
 
-    :param done: False if the item was given up; then the rest is empty.
+    :param done: False if the item was given up; the following fields are empty then.
     :param versions: Every weight version that made an event of the text.
-    :param score: The mark of the scoring call's answer.
+    :param score: The mark in the scoring call's answer.
     """
 
     item_id: str
@@ -115,15 +116,13 @@
 @dataclass(frozen=True)
 class JobOpened:
     """
-    A job is accepted.
+    Record of an accepted job.
 
-    Every node reads this, so its items stand apart: 136 items with bodies of 500 bytes
-    take 73 KB, and 195 nodes would read them at once, at 80 MB a second for all
-    together. In a play with 195 nodes no read was answered for 0.5 s after two jobs.
+    Every node reads this record, so the items, which are large, are stored apart.
 
-    :param size: Of its items, a count.
-    :param items: Where they are, as `encode_job_items` gives them.
-    :param workspace: Whose job it is, as in `Job`.
+    :param size: Number of items.
+    :param items: Location of the items in the form of `encode_job_items`.
+    :param workspace: Workspace that owns the job, as in `Job`.
     """
 
     job_id: str
@@ -140,7 +139,7 @@
     @classmethod
     def of(cls, job: Job, items: StoredText) -> JobOpened:
         """
-        Open a job whose items have been stored.
+        Return the record of a job whose items have been stored.
         """
         return cls(
             job.job_id,
@@ -158,16 +157,21 @@
     @property
     def series(self) -> str:
         """
-        Names the jobs of one trainer, which one node runs as long as it lives: it knows
-        exactly what they have in flight, and keeps its connections to the engines.
+        Key that the jobs of one trainer share.
+
+        One node runs all jobs of a series, so it knows exactly what they have in flight
+        and reuses its connections to the engines.
         """
         return f"{self.host}/{self.model}"
 
     def may_be_seen_by(self, workspace: str | None) -> bool:
         """
-        Return whether a caller may ask for the job, by the workspace of its key.
+        Return whether a caller with a key of this workspace may read the job.
+
+        A job without a workspace may be read by every caller.
 
-        Jobs of no workspace are anybody's, as they were before there were any.
+        :param workspace: Workspace of the caller's key; none if no workspaces are
+            configured.
         """
         return not self.workspace or workspace in (None, self.workspace)
 
@@ -175,7 +179,7 @@
 @dataclass(frozen=True)
 class ItemListed:
     """
-    An item's result.
+    Record of an item's result.
     """
 
     job_id: str
@@ -185,10 +189,10 @@
 @dataclass(frozen=True)
 class ItemFailed:
     """
-    An engine answered that it failed on an item.
+    Record of an engine's answer that an item failed.
 
-    :param failure_id: Names this answer: an append may be done twice.
-    :param scoring: Whether it was the scoring call.
+    :param failure_id: Id of this answer, so that a repeated append counts once.
+    :param scoring: Whether the scoring call failed.
     """
 
     job_id: str
@@ -200,14 +204,14 @@
 @dataclass(frozen=True)
 class ItemKept:
     """
-    Events that the next node to run an item may go on from.
+    Checkpoint of an unfinished item, from which another node may resume.
 
-    :param first: Number of the first of them.
-    :param count: Of the events.
-    :param follows: The chain that the event before them belongs to.
-    :param chain: Names the run that made them.
-    :param versions: Weight versions that made any of the text so far.
-    :param text: The events as `encode_events` gives them.
+    :param first: Number of the first event in this record.
+    :param count: Number of events in this record.
+    :param follows: Chain of the event before the first; empty for the first event.
+    :param chain: Id of the run that made the events.
+    :param versions: Weight versions that made any part of the text so far.
+    :param text: Location of the events in the form of `encode_events`.
     """
 
     job_id: str
@@ -223,7 +227,7 @@
 @dataclass(frozen=True)
 class JobEnded:
     """
-    The trainer has ended the job; nothing of it runs any more.
+    Record that the trainer has ended the job; its items stop running.
     """
 
     job_id: str
--- a/packages/saddledoor/src/saddledoor/_queueing.py
+++ b/packages/saddledoor/src/saddledoor/_queueing.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Who goes next when back ends are full: fair queueing between partners.
+Fair queueing of requests between partners while back ends are full.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from typing import Generic, TypeVar
 
 
-__all__ = ["FairQueue", "Pushed", "Ticket", "WorkClass"]
+__all__ = ["FairQueue", "Pushed", "QueueEntry", "WorkClass"]
 
 _T = TypeVar("_T")
 
-#: Of this many grants, training gets at least one while it waits.
-_TRAINING_TURN = 4
+#: While both classes wait, every n-th request taken is one of training.
+_TRAINING_INTERVAL = 4
 
 
 class WorkClass(IntEnum):
     """
-    Interactive work goes before training work, but never starves it.
+    Class of work; interactive work has priority but does not starve training work.
     """
 
     INTERACTIVE = 0
@@ -30,12 +30,13 @@
 
 
 @dataclass(frozen=True, order=True)
-class Ticket(Generic[_T]):
+class QueueEntry(Generic[_T]):
     """
-    A place in the queue.
+    An entry of a queue.
 
-    :param start: Virtual start time; smaller goes first. The request's own cost does
-        not count, so that long ones are not put back.
+    :param start: Virtual start time; the smallest is served first. It does not depend
+        on the request's own cost, so expensive requests are not delayed.
+    :param order: Sequence number, which breaks ties.
     """
 
     start: float
@@ -47,10 +48,11 @@
 @dataclass(frozen=True)
 class Pushed(Generic[_T]):
     """
-    What became of a request at the queue's door.
+    Result of queueing a request.
 
-    :param queued: Whether it waits now; if not, it has to be refused.
-    :param displaced: A request that lost its place to it, and has to be refused.
+    :param queued: Whether the request was queued; if not, it has to be refused.
+    :param displaced: A queued request that was removed in its favour and has to be
+        refused; none if there was a free place.
     """
 
     queued: bool
@@ -61,30 +63,30 @@
     """
     Start-time fair queueing by cost, within two classes of work.
 
-    A partner that floods only lengthens its own line, and gives way first when the
-    queue is full: each request's virtual start
-    is the later of the queue's virtual time and the partner's last finish.
+    The virtual start time of a request is the later of the queue's virtual time and the
+    finish time of the partner's previous request. A partner that sends too much
+    therefore delays only itself, and loses requests first when the queue is full.
     Source: Goyal, Vin and Cheng, "Start-time fair queuing".
 
-    :param capacity: Requests that may wait in a class, a count.
+    :param capacity: Maximum number of waiting requests per class.
     """
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._lines: dict[WorkClass, list[Ticket[_T]]] = {c: [] for c in WorkClass}
-        self._finish: dict[tuple[WorkClass, str], float] = {}
-        self._virtual: dict[WorkClass, float] = dict.fromkeys(WorkClass, 0.0)
-        self._count = 0
+        self._queues: dict[WorkClass, list[QueueEntry[_T]]] = {c: [] for c in WorkClass}
+        self._last_finish: dict[tuple[WorkClass, str], float] = {}
+        self._virtual_time: dict[WorkClass, float] = dict.fromkeys(WorkClass, 0.0)
+        self._sequence = 0
         self._grants = 0
 
     def __len__(self) -> int:
-        return sum(len(line) for line in self._lines.values())
+        return sum(len(queue) for queue in self._queues.values())
 
     def waiting(self, work: WorkClass) -> int:
         """
-        Return how many requests of a class wait.
+        Return the number of waiting requests of a class.
         """
-        return len(self._lines[work])
+        return len(self._queues[work])
 
     def push(
         self, work: WorkClass, partner: str, cost: float, weight: float, item: _T
@@ -92,67 +94,70 @@
         """
         Queue a request.
 
-        In a full class, the request that would be served last gives way: otherwise a
-        partner that floods would fill the queue, and the others be refused at its
-        door.
+        If the class is full, the request that would be served last is displaced;
+        otherwise a single partner could fill the queue and have all others refused.
 
         :param cost: Expected work, in tokens.
-        :param weight: The partner's share relative to others.
+        :param weight: The partner's share relative to the others.
         """
-        line = self._lines[work]
-        start = max(self._virtual[work], self._finish.get((work, partner), 0.0))
-        self._count += 1
-        ticket = Ticket(start, self._count, partner, item)
+        queue = self._queues[work]
+        start = max(
+            self._virtual_time[work], self._last_finish.get((work, partner), 0.0)
+        )
+        self._sequence += 1
+        entry = QueueEntry(start, self._sequence, partner, item)
         displaced = None
-        if len(line) >= self._capacity:
-            last = max(line)
-            if last <= ticket:
+        if len(queue) >= self._capacity:
+            last = max(queue)
+            if last <= entry:
                 return Pushed(queued=False)
             displaced = self._remove(work, last)
-        self._finish[(work, partner)] = start + cost / weight
-        heapq.heappush(line, ticket)
+        self._last_finish[(work, partner)] = start + cost / weight
+        heapq.heappush(queue, entry)
         return Pushed(True, displaced)
 
-    def _remove(self, work: WorkClass, ticket: Ticket[_T]) -> _T:
-        line = self._lines[work]
-        line.remove(ticket)
-        heapq.heapify(line)
-        # It was its partner's last: the partner has not had that work.
-        self._finish[(work, ticket.partner)] = ticket.start
-        return ticket.item
+    def _remove(self, work: WorkClass, entry: QueueEntry[_T]) -> _T:
+        queue = self._queues[work]
+        queue.remove(entry)
+        heapq.heapify(queue)
+        # The removed request was its partner's last, so its cost is credited back.
+        self._last_finish[(work, entry.partner)] = entry.start
+        return entry.item
 
     def push_front(self, work: WorkClass, item: _T) -> None:
         """
-        Put back a request that was taken but could not be served; it goes next.
+        Put back a request that was taken but could not be served; it is served next.
         """
-        self._count += 1
-        ticket = Ticket(float("-inf"), self._count, "", item)
-        heapq.heappush(self._lines[work], ticket)
+        self._sequence += 1
+        entry = QueueEntry(float("-inf"), self._sequence, "", item)
+        heapq.heappush(self._queues[work], entry)
 
     def pop(self, skip: frozenset[WorkClass] = frozenset()) -> _T | None:
         """
-        Take the next request, or none if nothing waits.
+        Remove and return the next request; none if nothing waits.
 
-        :param skip: Classes whose next request cannot be served now.
+        :param skip: Classes that cannot be served now.
         """
         work = self._next_class(skip)
         if work is None:
             return None
-        ticket = heapq.heappop(self._lines[work])
-        self._virtual[work] = max(self._virtual[work], ticket.start)
-        if not self._lines[work]:
-            self._forget_idle(work)
-        return ticket.item
+        entry = heapq.heappop(self._queues[work])
+        self._virtual_time[work] = max(self._virtual_time[work], entry.start)
+        if not self._queues[work]:
+            self._reset_idle(work)
+        return entry.item
 
     def _next_class(self, skip: frozenset[WorkClass]) -> WorkClass | None:
-        waiting = [c for c in WorkClass if self._lines[c] and c not in skip]
+        waiting = [c for c in WorkClass if self._queues[c] and c not in skip]
         if len(waiting) < len(WorkClass):
             return waiting[0] if waiting else None
         self._grants += 1
-        turn = self._grants % _TRAINING_TURN == 0
-        return WorkClass.TRAINING if turn else WorkClass.INTERACTIVE
-
-    def _forget_idle(self, work: WorkClass) -> None:
-        # With nothing waiting, no partner is ahead of another any more.
-        self._finish = {k: v for k, v in self._finish.items() if k[0] is not work}
-        self._virtual[work] = 0.0
+        training_due = self._grants % _TRAINING_INTERVAL == 0
+        return WorkClass.TRAINING if training_due else WorkClass.INTERACTIVE
+
+    def _reset_idle(self, work: WorkClass) -> None:
+        # An empty queue owes no partner any service.
+        self._last_finish = {
+            k: v for k, v in self._last_finish.items() if k[0] is not work
+        }
+        self._virtual_time[work] = 0.0
--- a/packages/saddledoor/src/saddledoor/_retry.py
+++ b/packages/saddledoor/src/saddledoor/_retry.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Retry budgets: how many retries a partner may spend, as a share of first attempts.
+Retry budgets, which limit a partner's retries to a share of its first attempts.
 """
 
 from __future__ import annotations
@@ -16,15 +16,18 @@
     """
     A token bucket that first attempts fill and retries drain.
 
-    A budget, unlike a fixed number of retries per request, keeps the extra load
-    bounded when every engine of a pool fails at once.
+    Unlike a fixed number of retries per request, a budget bounds the extra load when
+    every engine of a pool fails at once.
     Source: the retry budget of Finagle's published documentation.
+
+    :param ratio: Retries added by each first attempt.
+    :param burst: Capacity, in retries; also the initial balance.
     """
 
     @property
     def balance(self) -> float:
         """
-        Retries that may be spent now, a count.
+        Number of retries that may be spent now.
         """
         return self._balance
 
--- a/packages/saddledoor/src/saddledoor/_route_table.py
+++ b/packages/saddledoor/src/saddledoor/_route_table.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Pass-through routes: which service a request goes to, and what may be repeated.
+Pass-through routes: which service a request goes to, and whether it is repeatable.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 class RouteKind(Enum):
     """
-    What a route carries, which decides what may be repeated.
+    Kind of a route's requests; it determines whether they may be repeated.
     """
 
-    #: Idempotent requests: may run more than once.
+    #: Idempotent requests; they may run more than once.
     SAFE = "safe"
-    #: At most once for each request of a caller.
+    #: Requests that run at most once.
     UNSAFE = "unsafe"
-    #: A stream of events; at most once unless the route is resumable.
+    #: Streams of events; they run at most once unless the route is resumable.
     STREAM = "stream"
     #: Batch jobs of a trainer.
     JOB = "job"
@@ -44,7 +44,7 @@
     """
     A service's share of a route's requests.
 
-    :param weight: Relative to the other shares; 0 sends nothing.
+    :param weight: Relative to the other shares; 0 sends no requests.
     """
 
     service: str
@@ -57,14 +57,15 @@
     A route by host and path prefix.
 
     :param timeout: Longest time a request may be held, in seconds.
-    :param objective: Time within which an answer is worth its full credit, in seconds.
-    :param max_attempts: Largest number of back ends one request may be sent to.
-    :param rank: 0 is the most urgent.
-    :param resumable: Whether a broken stream may go on at another back end.
+    :param objective: Target time of an answer, in seconds.
+    :param max_attempts: Maximum number of back ends one request may be sent to.
+    :param rank: Priority; 0 is the most urgent.
+    :param resumable: Whether a broken stream may be resumed at another back end.
     :param single_version: Whether a sample must come from one weight version.
-    :param give_up_after: Age at which an item of a job may be given up, in seconds.
-    :param needs_key: Whether a request needs the key of a workspace, where there are
-        any.
+    :param give_up_after: Age at which an item of a job may be given up, in seconds;
+        none if items are never given up.
+    :param needs_key: Whether a request needs a workspace's key, if workspaces are
+        configured.
     """
 
     name: str
@@ -99,9 +100,9 @@
 @dataclass(frozen=True)
 class GatewayService:
     """
-    What the configuration says of a service's back ends.
+    Configuration of a service's back ends.
 
-    :param models: Names of the models its engines run; empty for a plain service.
+    :param models: Names of the models that its engines run; empty for a plain service.
     """
 
     name: str
@@ -112,9 +113,9 @@
 @dataclass(frozen=True)
 class GatewayLimits:
     """
-    What a caller may send, and how long its connection may rest.
+    Limits on callers' requests and connections.
 
-    :param idle_timeout: In seconds.
+    :param idle_timeout: How long a connection may be idle, in seconds.
     """
 
     max_header_bytes: int
@@ -125,10 +126,10 @@
 @dataclass(frozen=True)
 class GatewayConfig:
     """
-    A whole configuration of the pass-through.
+    A complete configuration of the pass-through.
 
-    :param version: Rises with each configuration, by uneven steps.
-    :param workspaces: Whose keys are taken; none if requests need no key.
+    :param version: Increases with each configuration, not always by one.
+    :param workspaces: Workspaces whose keys are accepted; none if requests need no key.
     """
 
     version: int
@@ -141,7 +142,7 @@
 @dataclass(frozen=True)
 class RouteTable:
     """
-    Finds a request's route.
+    Routes by host and path prefix.
     """
 
     _by_host: dict[str, tuple[GatewayRoute, ...]] = field(default_factory=dict)
@@ -162,9 +163,9 @@
 
     def find(self, host: str, path: str) -> GatewayRoute | None:
         """
-        Return the route of this host with the longest prefix of the path.
+        Return the route of a host with the longest prefix of the path, or none.
 
-        :param host: With or without a port.
+        :param host: Host name, with or without a port.
         """
         for route in self._of_host(host):
             if path.startswith(route.path_prefix):
@@ -173,8 +174,8 @@
 
     def jobs_need_key(self, host: str) -> bool:
         """
-        Return whether a call for a job of this host needs a key: unless every route of
-        jobs there goes without.
+        Return whether job calls to a host need a key; they do unless the host has job
+        routes and none of them needs one.
         """
         routes = [r for r in self._of_host(host) if r.kind is RouteKind.JOB]
         return not routes or any(route.needs_key for route in routes)
--- a/packages/saddledoor/src/saddledoor/_routing.py
+++ b/packages/saddledoor/src/saddledoor/_routing.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Choice of a back end: policies are closures from candidates to a choice.
+Routing policies: functions that choose one of several candidate back ends.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
     """
     A back end that may take the request.
 
-    :param slots: Requests it works on at once, a count.
-    :param own: Requests that this node has in flight there, a count.
-    :param reported: Load that the back end reported, a count of requests.
+    :param slots: Number of requests that the back end runs concurrently.
+    :param own: Number of requests that this node has in flight there.
+    :param reported: Number of requests that the back end reported.
     :param age: Age of that report, in seconds.
     """
 
@@ -48,7 +48,7 @@
 
 def uniform(random: Callable[[], float]) -> Choose:
     """
-    Return a policy that takes any candidate; a baseline.
+    Return a policy that chooses a candidate at random; a baseline.
 
     :param random: Returns numbers in [0, 1).
     """
@@ -61,7 +61,7 @@
 
 def round_robin() -> Choose:
     """
-    Return a policy that takes candidates in turn; a baseline.
+    Return a policy that chooses candidates in turn; a baseline.
     """
     turn = 0
 
@@ -75,7 +75,7 @@
 
 def least_reported() -> Choose:
     """
-    Return a policy that trusts reports alone; a baseline that herds when they lag.
+    Return a policy that uses reported load only; a baseline that herds on old reports.
     """
 
     def choose(candidates: Sequence[Candidate]) -> Candidate:
@@ -86,12 +86,13 @@
 
 def least_outstanding(random: Callable[[], float]) -> Choose:
     """
-    Return a policy that takes the candidate with the least of this node's own work.
+    Return a policy that chooses the candidate with the fewest requests of this node in
+    flight, relative to its slots.
 
-    What the node itself has in flight is exact and never lags, so nodes do not herd;
-    ties, which are many while little is in flight, are broken at random.
-    Source: the least-outstanding-requests policy of load balancers; why it stands
-    here is in docs/design/choice-of-engine.md.
+    A node's own count is exact and up to date, so nodes do not herd. Ties, which are
+    common at low load, are broken at random.
+    Source: the least-outstanding-requests policy of load balancers; the reasons for it
+    are in docs/design/choice-of-engine.md.
 
     :param random: Returns numbers in [0, 1).
     """
@@ -106,17 +107,13 @@
 
 def own_order(node: str) -> Choose:
     """
-    Return a policy that takes the candidate with the least of this node's own work, and
-    of those alike the one that comes first in an order of the node's own.
+    Return the policy `least_outstanding` with ties broken by rendezvous order.
 
-    Most nodes of a large deployment have one request in flight at a time, if any. With
-    ties broken at random each of them opens connections to all engines: 195 nodes that
-    make 30 requests each before 14 engines opened 2,406 of them, and open 383 in their
-    own orders. The orders differ, so that every engine is first for about as many
-    nodes: the busiest engine has 1.2 times the mean.
-    Whoever has more in flight spreads it as `least_outstanding` does.
+    Most nodes of a large deployment have at most one request in flight. With random
+    ties, each node would open connections to all engines; with a fixed order it uses
+    few of them. The orders of the nodes differ, so the load is spread evenly.
 
-    :param node: Names this node, also after a restart.
+    :param node: Name of this node; it stays the same across restarts.
     """
 
     def choose(candidates: Sequence[Candidate]) -> Candidate:
@@ -131,12 +128,12 @@
     """
     Return a policy that compares two random candidates; a baseline.
 
-    A candidate's load is this node's own work there plus the reported load,
-    discounted by the report's age.
+    A candidate's load is the number of this node's requests in flight there plus the
+    reported load of others, discounted by the report's age.
     Source: Mitzenmacher, "The power of two choices in randomized load balancing".
 
     :param random: Returns numbers in [0, 1).
-    :param half_life: Age at which a report counts half, in seconds.
+    :param half_life: Age at which a report's weight is one half, in seconds.
     """
 
     def load(candidate: Candidate) -> float:
@@ -157,7 +154,7 @@
 
 def rendezvous_order(key: str, nodes: Iterable[str]) -> list[str]:
     """
-    Return the nodes by highest random weight, the same order on every node.
+    Return the nodes by descending random weight; the order is the same on every node.
 
     Source: Thaler and Ravishankar, "A name-based mapping scheme for rendezvous".
     """
@@ -170,7 +167,7 @@
 
 def rendezvous(key: str, nodes: Iterable[str]) -> str | None:
     """
-    Return the node that is responsible for a key, or none.
+    Return the node that is responsible for a key, or none without nodes.
     """
     order = rendezvous_order(key, nodes)
     return order[0] if order else None
--- a/packages/saddledoor/src/saddledoor/_step_order.py
+++ b/packages/saddledoor/src/saddledoor/_step_order.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A step's samples: which goes first, and how old the weights may be that make it.
+Order of a step's samples, and the oldest weight version that may make them.
 """
 
 from __future__ import annotations
@@ -18,17 +18,16 @@
 
 def in_order(specs: Iterable[SampleSpec]) -> list[SampleSpec]:
     """
-    Return the samples as the trainer submitted them; a baseline.
+    Return the samples in the order in which the trainer submitted them; a baseline.
     """
     return list(specs)
 
 
 def longest_first(specs: Iterable[SampleSpec]) -> list[SampleSpec]:
     """
-    Return the longest first: a step ends when its last sample does, and a long one
-    that begins late ends last.
+    Return the samples by descending length, since a step ends when its last sample
+    does.
 
-    Only the order changes: every sample is made, at the length asked for.
     Source: longest processing time first, Graham (1969).
     """
     return sorted(specs, key=lambda spec: -spec.max_tokens)
@@ -36,11 +35,11 @@
 
 def oldest_allowed(version: int, bound: int, preference: str) -> int:
     """
-    Return the oldest weight version that an engine may have to get a sample.
+    Return the oldest weight version with which an engine may get a sample.
 
     :param version: The version that the trainer named last.
-    :param bound: Its staleness bound, in versions.
-    :param preference: ``idle`` takes any engine within the bound; ``staleness`` waits
-        for one that is up to date.
+    :param bound: The trainer's staleness bound, in versions.
+    :param preference: ``idle`` accepts any engine within the bound; ``staleness`` waits
+        for an engine that is up to date.
     """
     return version if preference == "staleness" else max(0, version - bound)
--- a/packages/saddledoor/src/saddledoor/_text_lengths.py
+++ b/packages/saddledoor/src/saddledoor/_text_lengths.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-How long the texts of a model become, from what trainers expect and what was made.
+Estimation of text lengths from trainers' estimates and finished texts.
 """
 
 from __future__ import annotations
@@ -13,63 +13,73 @@
 
 __all__ = ["TextLengths"]
 
-#: Share of the texts that count as long. A step ends with its longest text, and a
-#: trainer's guess is off by half its size at one deviation: of the texts of over four
-#: times the median, nine in ten are among the sixth that was expected to be longest
-#: (1,555 texts of a play).
+#: Share of the texts with the largest estimates that count as long. It is larger than
+#: the share of long texts, since the estimates are inaccurate.
 _LONG_SHARE = 1 / 6
-#: Texts that are remembered, a count: some steps of a trainer with 30 to 120 items.
-_REMEMBERED = 256
-#: Tokens that an event holds, until finished texts have shown it.
+#: Number of the latest texts that estimates are based on.
+_HISTORY_SIZE = 256
+#: Initial value of the tokens per event, before a text has finished.
 _TOKENS_PER_EVENT = 50.0
-#: A text that outgrew its guess is expected to make so much more of what it has: tails
-#: are heavy, so one that is long already tends to go on.
-_OUTGROWN = 0.5
+#: Minimum remaining length of a text, as a share of its length so far: the
+#: distribution of lengths is heavy-tailed.
+_OVERRUN_SHARE = 0.5
 
 
 class TextLengths:
     """
-    Remembers the latest texts of one model.
+    Estimates the lengths of one model's texts from the latest ones.
     """
 
     def __init__(self) -> None:
-        self._expected: deque[int] = deque(maxlen=_REMEMBERED)
-        self._ratios: deque[float] = deque(maxlen=_REMEMBERED)
+        self._expected: deque[int] = deque(maxlen=_HISTORY_SIZE)
+        self._ratios: deque[float] = deque(maxlen=_HISTORY_SIZE)
         self._tokens_per_event = _TOKENS_PER_EVENT
-        self._long_from = float("inf")
+        self._long_threshold = float("inf")
 
     def announce(self, expected_tokens: list[int]) -> None:
         """
-        Note what a job's trainer expects of its texts, in tokens; 0 says nothing.
+        Add a trainer's estimates for the texts of a job.
+
+        :param expected_tokens: Estimated lengths, in tokens; 0 for an unknown length.
         """
         self._expected.extend(tokens for tokens in expected_tokens if tokens > 0)
-        ranked: list[int] = []
+        ascending: list[int] = []
         for tokens in self._expected:
-            insort(ranked, tokens)
-        if ranked:
-            self._long_from = ranked[int(len(ranked) * (1 - _LONG_SHARE))]
+            insort(ascending, tokens)
+        if ascending:
+            self._long_threshold = ascending[int(len(ascending) * (1 - _LONG_SHARE))]
 
     def finished(self, expected_tokens: int, events: int) -> None:
         """
-        Note that a text has ended after so many events.
+        Add a finished text.
+
+        :param expected_tokens: The trainer's estimate of its length; 0 for none.
+        :param events: Number of events of the text.
         """
         if expected_tokens > 0 and events > 0:
             self._ratios.append(expected_tokens / events)
-            # Guesses are right at the median.
+            # The median, since trainers' estimates are right at the median.
             self._tokens_per_event = median(self._ratios)
 
-    def left(self, expected_tokens: int, made: int) -> float:
+    def left(self, expected_tokens: int, events_so_far: int) -> float:
         """
-        Return how many more events a text is expected to make.
+        Return the expected number of further events of a text.
 
-        :param expected_tokens: The trainer's guess of its length; 0 without one.
-        :param made: Events so far, a count.
+        :param expected_tokens: The trainer's estimate of its length; 0 for none.
+        :param events_so_far: Number of events that the text already has.
         """
-        return max(expected_tokens / self._tokens_per_event - made, _OUTGROWN * made, 1)
+        return max(
+            expected_tokens / self._tokens_per_event - events_so_far,
+            _OVERRUN_SHARE * events_so_far,
+            1,
+        )
 
-    def is_long(self, expected_tokens: int, made: int) -> bool:
+    def is_long(self, expected_tokens: int, events_so_far: int) -> bool:
         """
-        Whether a text is expected to be among the longest.
+        Return whether a text counts as long.
+
+        :param expected_tokens: The trainer's estimate of its length; 0 for none.
+        :param events_so_far: Number of events that the text already has.
         """
-        tokens = max(expected_tokens, made * self._tokens_per_event)
-        return tokens >= self._long_from
+        tokens = max(expected_tokens, events_so_far * self._tokens_per_event)
+        return tokens >= self._long_threshold
--- a/packages/saddledoor/src/saddledoor/_usage.py
+++ b/packages/saddledoor/src/saddledoor/_usage.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Usage by workspace and window of time: counted by every VM, decided once for all.
+Usage by workspace and time window: counted by every VM, decided once for all of them.
 
-The first decision on a window in the log is the one that is reported, by whoever holds
-the duty then, however often. So a report that is late, repeated, or made by two holders
-never differs.
+The first decision on a window in the log is the one that is reported. Reports that are
+late, repeated or sent by two lease holders therefore never differ.
 """
 
 from __future__ import annotations
@@ -17,27 +16,26 @@
 
 __all__ = ["TrueTime", "UsageBook", "UsageMeter", "UsageWindows"]
 
-#: How long a jump of the time of day must last to be believed, in seconds.
-_BELIEVED_AFTER = 30.0
-#: Change of the time of day that is a correction of the clock and no jump, in seconds.
-_CORRECTION = 0.2
-#: Windows whose counts a VM keeps, a count: a report that is this late is given up.
-_WINDOWS_KEPT = 24
-#: Of the time until a report is due: after which share a VM has counted all that began
-#: in the window, and until which share VMs are waited for that may be cut off. The rest
-#: is for the report, beside outages.
-_COUNTED_AFTER, _WAIT_UNTIL = 0.2, 0.6
-#: Windows for which a silent VM is waited for, a count: longer than most cuts last.
-_WAITED_FOR = 3
+#: How long a jump of the wall clock must last before it is accepted, in seconds.
+_JUMP_ACCEPTED_AFTER = 30.0
+#: Largest change of the wall clock that counts as a correction, not a jump, in seconds.
+_MAX_CORRECTION = 0.2
+#: Number of windows whose counts a VM keeps; later reports are abandoned.
+_MAX_WINDOWS = 24
+#: Shares of the time between a window's end and the due time of its report: when VMs
+#: close the window to new counts, and until when counts of other VMs are awaited.
+_CLOSE_SHARE, _WAIT_SHARE = 0.2, 0.6
+#: Number of preceding windows whose sources are expected to report on a window.
+_ACTIVE_SOURCE_WINDOWS = 3
 
 
 @dataclass(frozen=True)
 class UsageWindows:
     """
-    Windows of equal length, from the start of 1970 on.
+    Windows of equal length, numbered from the Unix epoch.
 
-    :param length: In seconds.
-    :param due_after: When a window's report is due, in seconds after its end.
+    :param length: Length of a window, in seconds.
+    :param due_after: When a window's report is due, in seconds after the window's end.
     """
 
     length: float
@@ -45,36 +43,36 @@
 
     def of(self, unix_time: float) -> int:
         """
-        Return the number of the window that a moment lies in.
+        Return the number of the window that contains a point in time.
         """
         return int(unix_time // self.length)
 
     def last_counted(self, unix_time: float) -> int:
         """
-        Return the newest window in which nothing more is to be counted.
+        Return the newest window that is closed to new counts.
         """
-        return self.of(unix_time - _COUNTED_AFTER * self.due_after) - 1
+        return self.of(unix_time - _CLOSE_SHARE * self.due_after) - 1
 
     def last_waited_for(self, unix_time: float) -> int:
         """
-        Return the newest window that is decided on whoever has not spoken.
+        Return the newest window that is decided even if counts are missing.
         """
-        return self.of(unix_time - _WAIT_UNTIL * self.due_after) - 1
+        return self.of(unix_time - _WAIT_SHARE * self.due_after) - 1
 
     def to_decide(self, unix_time: float, first_undecided: int | None) -> list[int]:
         """
-        Return the windows that may be decided on now, oldest first.
+        Return the windows that may be decided now, oldest first.
 
-        :param first_undecided: Oldest window that the log tells of and that is not
-            decided; none if it tells of none.
+        :param first_undecided: Oldest undecided window in the log; none if the log has
+            no usage records.
         """
         newest = self.last_counted(unix_time)
         first = first_undecided
         if first is None:
-            first = self.first_in_time(unix_time)
-        return list(range(max(first, newest - _WINDOWS_KEPT + 1), newest + 1))
+            first = self.first_not_due(unix_time)
+        return list(range(max(first, newest - _MAX_WINDOWS + 1), newest + 1))
 
-    def first_in_time(self, unix_time: float) -> int:
+    def first_not_due(self, unix_time: float) -> int:
         """
         Return the first window whose report is not yet due.
         """
@@ -82,10 +80,12 @@
 
     def to_repeat(self, unix_time: float, last_decided: int | None) -> list[int]:
         """
-        Return the windows whose reports a new holder sends again, oldest first: the one
-        before may have got no answer. Late reports too, for as long again as they had.
+        Return the decided windows whose reports a new lease holder sends again, oldest
+        first, since the previous holder may have got no answer.
 
-        :param last_decided: Newest window that is decided, if any is known.
+        Reports are sent again until they are late by the time that they had.
+
+        :param last_decided: Newest decided window; none if there is none.
         """
         if last_decided is None:
             return []
@@ -93,7 +93,7 @@
 
     def first_to_repeat(self, unix_time: float) -> int:
         """
-        Return the first window whose report is worth sending again.
+        Return the oldest window whose report is still sent again.
         """
         return self.of(unix_time - 2 * self.due_after)
 
@@ -101,25 +101,25 @@
 @dataclass
 class UsageBook:
     """
-    Counts and decisions, folded from the log.
+    Counts and decisions folded from the log.
     """
 
     _counts: dict[int, dict[tuple[str, str], int]] = field(default_factory=dict)
-    _whole: dict[int, set[str]] = field(default_factory=dict)
+    _complete_sources: dict[int, set[str]] = field(default_factory=dict)
     _decided: dict[int, dict[str, int]] = field(default_factory=dict)
 
     @property
     def last_decided(self) -> int | None:
         """
-        The newest window that is decided, or none.
+        The newest decided window, or none.
         """
         return max(self._decided, default=None)
 
     @property
     def first_undecided(self) -> int | None:
         """
-        The window after the newest decision, or the oldest one with counts before any;
-        none if the log tells of neither.
+        The window after the newest decided one; without decisions, the oldest window
+        with counts; none without either.
         """
         if self._decided:
             return max(self._decided) + 1
@@ -127,23 +127,23 @@
 
     def apply(self, record: Record) -> None:
         """
-        Fold one record; one that comes again changes nothing.
+        Fold one record; a repeated record has no effect.
         """
         match record:
             case UsageCounted(source=source, window=window, counts=counts):
                 if record.whole:
-                    self._whole.setdefault(window, set()).add(source)
+                    self._complete_sources.setdefault(window, set()).add(source)
                 known = self._counts.setdefault(window, {})
                 for workspace, count in counts.items():
-                    place = (source, workspace)
-                    known[place] = max(known.get(place, 0), count)
+                    key = (source, workspace)
+                    known[key] = max(known.get(key, 0), count)
             case UsageDecided(window=window, counts=counts):
                 self._decided.setdefault(window, dict(counts))
         self._forget()
 
     def counted(self, window: int) -> dict[str, int]:
         """
-        Return what all VMs have counted in a window, by workspace.
+        Return the counts of a window by workspace, summed over all VMs.
         """
         total: dict[str, int] = {}
         for (_, workspace), count in self._counts.get(window, {}).items():
@@ -152,12 +152,12 @@
 
     def is_whole(self, window: int) -> bool:
         """
-        Return whether every process has counted a window that had counted one of the
-        few before; not if nothing is known of those.
+        Return whether the final counts of a window are known from every source that
+        closed one of the preceding windows; false if there are no such sources.
         """
-        before = range(window - _WAITED_FOR, window)
-        expected = set().union(*(self._whole.get(w, set()) for w in before))
-        return bool(expected) and expected <= self._whole.get(window, set())
+        before = range(window - _ACTIVE_SOURCE_WINDOWS, window)
+        expected = set().union(*(self._complete_sources.get(w, set()) for w in before))
+        return bool(expected) and expected <= self._complete_sources.get(window, set())
 
     def decided(self, window: int) -> dict[str, int] | None:
         """
@@ -166,25 +166,25 @@
         return self._decided.get(window)
 
     def _forget(self) -> None:
-        for table in (self._counts, self._decided, self._whole):
-            while len(table) > 2 * _WINDOWS_KEPT:
+        for table in (self._counts, self._decided, self._complete_sources):
+            while len(table) > 2 * _MAX_WINDOWS:
                 del table[min(table)]
 
 
 class UsageMeter:
     """
-    What one process has counted, and what of it the log has not been given.
+    The counts of one process, and the changes that are not yet in the log.
 
-    :param source: Names the process.
-    :param window: The one that it begins in.
+    :param source: Id of the process.
+    :param window: Window in which the process starts.
     """
 
     def __init__(self, source: str, window: int) -> None:
         self._source = source
         self._counts: dict[int, dict[str, int]] = {}
         self._changed: dict[int, set[str]] = {}
-        self._last_whole = window - 1
-        self._whole: set[int] = set()
+        self._last_closed = window - 1
+        self._newly_closed: set[int] = set()
 
     def count(self, workspace: str, window: int) -> None:
         """
@@ -193,25 +193,26 @@
         counts = self._counts.setdefault(window, {})
         counts[workspace] = counts.get(workspace, 0) + 1
         self._changed.setdefault(window, set()).add(workspace)
-        while len(self._counts) > _WINDOWS_KEPT:
+        while len(self._counts) > _MAX_WINDOWS:
             oldest = min(self._counts)
             del self._counts[oldest]
             self._changed.pop(oldest, None)
 
     def close(self, last: int) -> None:
         """
-        Note that nothing more is to be counted in windows up to one.
+        Close all windows up to and including one to new counts.
         """
-        first = max(self._last_whole + 1, last - _WINDOWS_KEPT + 1)
-        self._whole.update(range(first, last + 1))
-        self._last_whole = max(self._last_whole, last)
+        first = max(self._last_closed + 1, last - _MAX_WINDOWS + 1)
+        self._newly_closed.update(range(first, last + 1))
+        self._last_closed = max(self._last_closed, last)
 
     def take(self) -> list[UsageCounted]:
         """
-        Return records of what has changed since; each count is the whole of its window.
+        Return records of the changes since the last call; each count is the total of
+        its window.
         """
         changed, self._changed = self._changed, {}
-        whole, self._whole = self._whole, set()
+        closed, self._newly_closed = self._newly_closed, set()
         return [
             UsageCounted(
                 self._source,
@@ -219,18 +220,18 @@
                 {name: self._counts[window][name] for name in sorted(changed[window])}
                 if window in changed
                 else {},
-                window in whole,
+                window in closed,
             )
-            for window in sorted(changed.keys() | whole)
+            for window in sorted(changed.keys() | closed)
         ]
 
     def give_back(self, records: list[UsageCounted]) -> None:
         """
-        Have records taken again that may not have reached the log.
+        Include records in the next `take` that may not have reached the log.
         """
         for record in records:
             if record.whole:
-                self._whole.add(record.window)
+                self._newly_closed.add(record.window)
             if record.counts and record.window in self._counts:
                 names = self._changed.setdefault(record.window, set())
                 names.update(record.counts)
@@ -238,32 +239,36 @@
 
 class TrueTime:
     """
-    The time of day from a monotonic clock, so that a jump of the VM's clock which is
-    taken back moves nothing.
+    Wall-clock time derived from a monotonic clock, which ignores short jumps of the
+    VM's wall clock.
 
-    :param unix_time: Now, in seconds since the start of 1970.
-    :param now: Monotonic, in seconds.
+    :param unix_time: Current wall-clock time, in Unix seconds.
+    :param now: The same moment, monotonic, in seconds.
     """
 
     def __init__(self, unix_time: float, now: float) -> None:
         self._offset = unix_time - now
-        self._other: float | None = None
-        self._other_since = now
+        self._jump_offset: float | None = None
+        self._jump_since = now
 
     def observe(self, unix_time: float, now: float) -> None:
         """
-        Take a correction of the clock at once, a jump only when it has lasted.
+        Compare with the wall clock: accept a correction at once, a jump only after it
+        has lasted.
         """
         offset = unix_time - now
-        if abs(offset - self._offset) <= _CORRECTION:
-            self._offset, self._other = offset, None
-        elif self._other is None or abs(offset - self._other) > _CORRECTION:
-            self._other, self._other_since = offset, now
-        elif now - self._other_since >= _BELIEVED_AFTER:
-            self._offset, self._other = offset, None
+        if abs(offset - self._offset) <= _MAX_CORRECTION:
+            self._offset, self._jump_offset = offset, None
+        elif (
+            self._jump_offset is None
+            or abs(offset - self._jump_offset) > _MAX_CORRECTION
+        ):
+            self._jump_offset, self._jump_since = offset, now
+        elif now - self._jump_since >= _JUMP_ACCEPTED_AFTER:
+            self._offset, self._jump_offset = offset, None
 
     def at(self, moment: float) -> float:
         """
-        Return a monotonic moment in seconds since the start of 1970.
+        Return the Unix time of a monotonic time, in seconds.
         """
         return moment + self._offset
--- a/packages/saddledoor/src/saddledoor/_workspaces.py
+++ b/packages/saddledoor/src/saddledoor/_workspaces.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Callers by key: which workspace a request belongs to, and what a VM may decide of it.
+Admission of callers by key, and the workspace that a request belongs to.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 __all__ = ["Admitted", "KeyBounds", "Workspace", "WorkspaceTable", "admit"]
 
-#: When a caller should ask elsewhere whose key this VM cannot judge, in seconds.
-_COME_BACK = 0.1
+#: ``Retry-After`` for a caller whose key this VM cannot judge, in seconds.
+_RETRY_AFTER = 0.1
 
 
 @dataclass(frozen=True)
 class Workspace:
     """
-    Whoever shares jobs, counts and priority under one name.
+    A group of callers that share jobs, usage counts and a priority.
 
-    :param key_digests: Of the keys that are in force, as `Workspace.digest` gives them.
-    :param rank: 0 is the most urgent; goes before the rank of the route. None without
-        one of its own.
+    :param key_digests: Digests of the valid keys, made by `Workspace.digest`.
+    :param rank: Priority; 0 is the most urgent. It overrides the route's rank; none
+        applies the route's.
     """
 
     name: str
@@ -38,14 +38,14 @@
         cls, name: str, keys: Iterable[str], rank: int | None = None
     ) -> Workspace:
         """
-        Return a workspace that keeps no key itself.
+        Return a workspace that stores only the digests of its keys.
         """
         return cls(name, frozenset(cls.digest(key) for key in keys), rank)
 
     @staticmethod
     def digest(key: str) -> bytes:
         """
-        Return what stands for a key: nothing that is compared tells of the key.
+        Return the digest of a key; keys are only compared by their digests.
         """
         return hashlib.sha256(key.encode()).digest()
 
@@ -53,7 +53,7 @@
 @dataclass(frozen=True)
 class WorkspaceTable:
     """
-    Finds the workspace of a key.
+    Workspaces by the digests of their keys.
     """
 
     _by_digest: Mapping[bytes, Workspace] = field(default_factory=dict)
@@ -90,12 +90,12 @@
 @dataclass(frozen=True)
 class KeyBounds:
     """
-    How old what a VM knows of keys may be.
+    Freshness limits of a VM's knowledge of keys.
 
-    :param known_within: Every VM that the store reaches knows a key this long after it
-        was put in force, in seconds.
-    :param gone_within: No request that is sent later than this after its key was taken
-        away may run, in seconds; none if only VMs that the store reaches have to know.
+    :param known_within: Time after which every VM with access to the store knows a new
+        key, in seconds.
+    :param gone_within: Time after which no VM may accept a revoked key, in seconds;
+        none if VMs without access to the store may go on accepting it.
     """
 
     known_within: float
@@ -105,10 +105,10 @@
 @dataclass(frozen=True)
 class Admitted:
     """
-    A request may be served.
+    The decision that a request may be served.
 
-    :param workspace: Whose it is; empty if it needs no key and has none that is known,
-        none if the configuration knows no workspaces.
+    :param workspace: Name of the caller's workspace; empty if the request needs no key
+        and has no known one, none if no workspaces are configured.
     """
 
     workspace: str | None = None
@@ -122,15 +122,16 @@
     bounds: KeyBounds,
 ) -> Admitted | NotRun:
     """
-    Decide on a request by its key.
+    Decide whether a request may be served, by its key.
 
-    A VM that has not heard of the store for long serves the keys that it knows, unless
-    it is to be sure that they are still in force. It does not call a key unknown that
-    others may know by now: the caller would not ask anybody else.
+    A VM whose keys are out of date serves the keys that it knows, unless revocation has
+    a time limit. It does not refuse an unknown key as unknown, because other VMs may
+    know the key and the caller would not ask them.
 
-    :param table: Of the newest configuration; none if that knows no workspaces.
-    :param key: Empty without one.
-    :param age: Of what this VM knows, in seconds: since it last had everything.
+    :param table: Table of the newest configuration; none if it has no workspaces.
+    :param needs_key: Whether the route requires a key.
+    :param key: The caller's key; empty if it sent none.
+    :param age: Time since this VM last had the newest configuration, in seconds.
     """
     if table is None:
         return Admitted()
@@ -141,12 +142,12 @@
         return NotRun(ResultCode.UNAUTHENTICATED, "a key is needed", 0.0)
     if workspace is None:
         if age > bounds.known_within:
-            return _unsure(f"a key not known here, where news is {age:.1f} s old")
+            return _refuse_stale(f"a key not known here, where news is {age:.1f} s old")
         return NotRun(ResultCode.UNAUTHENTICATED, "the key is not known", 0.0)
     if bounds.gone_within is not None and age > bounds.gone_within:
-        return _unsure(f"a key last known to be in force {age:.1f} s ago")
+        return _refuse_stale(f"a key last known to be in force {age:.1f} s ago")
     return Admitted(workspace.name)
 
 
-def _unsure(reason: str) -> NotRun:
-    return NotRun(ResultCode.KEYS_UNSURE, reason, _COME_BACK)
+def _refuse_stale(reason: str) -> NotRun:
+    return NotRun(ResultCode.KEYS_UNSURE, reason, _RETRY_AFTER)
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -64,36 +64,38 @@
     Guard(
         "a cause was there once without another suspect",
         _FOLD,
-        "if all(counts[other] == 1 for other in end.requests - {key})\n",
-        "if counts\n",
+        "if all(crash_counts[other] == 1 for other in crash.requests - {key})\n",
+        "if crash_counts\n",
         (ENDS, "always_together"),
     ),
     Guard(
         "what a barred request explains speaks against nobody",
         _FOLD,
-        "            self._blame = counts\n",
-        "            self._blame = self._blame if self._barred else counts\n",
+        "            self._crash_counts = crash_counts\n",
+        "            self._crash_counts = (\n"
+        "                self._crash_counts if self._quarantined else crash_counts\n"
+        "            )\n",
         (ENDS, "free_once_the_cause"),
     ),
     Guard(
         "an answer clears a request",
         _FOLD,
-        "                    end.requests.difference_update(record.requests)\n",
+        "                    crash.requests.difference_update(record.requests)\n",
         "                    pass\n",
         (ENDS, "an_answer_clears"),
     ),
     Guard(
         "what is known of ends is bounded in time",
         _FOLD,
-        "            if not too_many and now - oldest.told_at <= _REMEMBER:\n",
-        "            if not too_many:\n",
+        "            if not is_full and now - oldest.reported_at <= _RETENTION:\n",
+        "            if not is_full:\n",
         (ENDS, "bounded_in_time"),
     ),
     Guard(
         "what is known of ends is bounded in count",
         _FOLD,
-        "            too_many = len(self._ends) > _MOST_ENDS\n",
-        "            too_many = False\n",
+        "            is_full = len(self._crashes) > _MAX_CRASHES\n",
+        "            is_full = False\n",
         (ENDS, "bounded_in_count"),
     ),
     Guard(
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -22,7 +22,7 @@
     Guard(
         "entries that lapse with the store are bridged",
         f"{LIBRARY}/_engine_directory.py",
-        "            self._missing[engine_id] = (entry, returns_until)",
+        "            self._missing[engine_id] = (entry, usable_until)",
         "            pass",
         (REQUESTS, "are_bridged"),
     ),
@@ -87,15 +87,15 @@
     Guard(
         "an entry of an earlier life is passed over",
         f"{LIBRARY}/_engine_directory.py",
-        "if is_earlier and engine_id not in self._earlier:",
+        "if is_outdated and engine_id not in self._outdated_ignored:",
         "if False:",
         (LIVES, "earlier_life_is_passed_over"),
     ),
     Guard(
         "a false start does not shut an engine out",
         f"{LIBRARY}/_engine_directory.py",
-        "if is_earlier and engine_id not in self._earlier:",
-        "if is_earlier:",
+        "if is_outdated and engine_id not in self._outdated_ignored:",
+        "if is_outdated:",
         (LIVES, "shut_an_engine_out"),
     ),
     Guard(
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -171,8 +171,8 @@
     Guard(
         "an open job is kept",
         f"{LIBRARY}/_job_book.py",
-        "keep = ended_for if state.ended else open_for",
-        "keep = ended_for",
+        "retention = ended_retention if state.ended else open_retention",
+        "retention = ended_retention",
         (DECISIONS, "kept_while_it_is_open"),
     ),
     Guard(
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -117,7 +117,7 @@
     Guard(
         "a jump of the clock is not believed at once",
         f"{LIBRARY}/_usage.py",
-        "elif now - self._other_since >= _BELIEVED_AFTER:",
+        "elif now - self._jump_since >= _JUMP_ACCEPTED_AFTER:",
         "else:",
         ("tests/test_usage.py", "taken_back"),
     ),
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -74,8 +74,8 @@
     Guard(
         "a request does not go again where it broke off",
         f"{LIBRARY}/_engine_attempts.py",
-        "if all(a.end in _MAY_RETURN for",
-        "if all(a.end is not AttemptEnd.RUNNING for",
+        "a.outcome in _RETRYABLE",
+        "a.outcome is not AttemptEnd.RUNNING",
         (ATTEMPTS, "broke_off"),
     ),
     Guard(
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -235,10 +235,10 @@
     """
     listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
     book = _book_with(*listed)
-    book.forget(now=299.0, ended_for=120.0, open_for=300.0)
+    book.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
     assert book.get("job-a") is not None
     book.apply(JobEnded("job-a"), now=299.0)
-    book.forget(now=299.0, ended_for=120.0, open_for=300.0)
+    book.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
     assert book.get("job-a") is None
 
 
@@ -247,9 +247,9 @@
     Its readers come back until so long after it was accepted.
     """
     book = _book_with(JobEnded("job-a"))
-    book.forget(now=119.0, ended_for=120.0, open_for=300.0)
+    book.forget(now=119.0, ended_retention=120.0, open_retention=300.0)
     assert book.get("job-a") is not None
-    book.forget(now=121.0, ended_for=120.0, open_for=300.0)
+    book.forget(now=121.0, ended_retention=120.0, open_retention=300.0)
     assert book.get("job-a") is None
 
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -88,7 +88,7 @@
     """
     assert _WINDOWS.to_decide(111.0, None) == [20]
     assert _WINDOWS.to_decide(114.9, None) == [20, 21]
-    assert _WINDOWS.first_in_time(114.9) == 20
+    assert _WINDOWS.first_not_due(114.9) == 20
 
 
 def test_a_new_holder_repeats_late_reports_too_but_not_for_ever():
