--- a/packages/saddledoor/src/saddledoor/_engine_memory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_memory.py
@@ -19,7 +19,7 @@
 
 class EngineTable(Generic[T]):
     """
-    State by engine incarnation; created by `EngineStateRegistry.table`.
+    State by engine incarnation; created by `EngineTables.table`.
     """
 
     def __init__(
--- a/tests/test_engine_ends.py
+++ b/tests/test_engine_ends.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which requests are barred after engines ended, and that those only there never are.
+Quarantine of poison requests, and that requests in flight beside them stay eligible.
 """
 
 from __future__ import annotations
@@ -21,102 +21,102 @@
 )
 
 
-def _ends(*ends: str, now: float = 0.0) -> EngineEnds:
+def _fold_of_crashes(*crashes: str, now: float = 0.0) -> EngineEnds:
     """
-    Return what is known after ends, each with the letters of the requests there.
+    Return the fold of crashes, each given by the letters of the requests in flight.
     """
-    known = EngineEnds()
-    for number, requests in enumerate(ends):
-        known.apply(_ended(number, requests), now)
-    return known
+    fold = EngineEnds()
+    for number, requests in enumerate(crashes):
+        fold.apply(_crash(number, requests), now)
+    return fold
 
 
-def _ended(number: int, requests: str) -> EngineEnded:
+def _crash(number: int, requests: str) -> EngineEnded:
     return EngineEnded(f"engine-{number}", 1000 + number, tuple(requests))
 
 
-def _standings(known: EngineEnds, keys: str, now: float = 0.0) -> list[Standing]:
-    return [known.standing(key, now) for key in keys]
+def _statuses(fold: EngineEnds, keys: str, now: float = 0.0) -> list[Standing]:
+    return [fold.standing(key, now) for key in keys]
 
 
-def test_a_request_is_barred_after_three_ends_of_its_own():
+def test_a_request_is_quarantined_after_three_crashes():
     """
-    After one or two it runs on.
+    After one or two crashes it is only suspect.
     """
-    assert _ends("a").standing("a", 0.0) is Standing.SUSPECT
-    assert _ends("a", "a").standing("a", 0.0) is Standing.SUSPECT
-    assert _ends("a", "a", "a").standing("a", 0.0) is Standing.BARRED
+    assert _fold_of_crashes("a").standing("a", 0.0) is Standing.SUSPECT
+    assert _fold_of_crashes("a", "a").standing("a", 0.0) is Standing.SUSPECT
+    assert _fold_of_crashes("a", "a", "a").standing("a", 0.0) is Standing.BARRED
 
 
-def test_one_end_told_by_many_counts_once():
+def test_a_crash_reported_by_many_vms_counts_once():
     """
-    Every VM that had a request there tells of it.
+    Every VM with a request in flight there reports the crash.
     """
-    known = _ends("a", "a")
+    fold = _fold_of_crashes("a", "a")
     for _ in range(5):
-        known.apply(_ended(1, "a"), 0.0)
-    assert known.standing("a", 0.0) is Standing.SUSPECT
+        fold.apply(_crash(1, "a"), 0.0)
+    assert fold.standing("a", 0.0) is Standing.SUSPECT
 
 
 def test_those_that_were_only_there_are_free_once_the_cause_is_known():
     """
-    Also one that was at three ends, or at all of them but one.
+    Also a request that was in flight at three crashes.
     """
-    known = _ends("abc", "ab", "abd", "a")
-    assert _standings(known, "abcd") == [Standing.BARRED, *[Standing.FREE] * 3]
+    fold = _fold_of_crashes("abc", "ab", "abd", "a")
+    assert _statuses(fold, "abcd") == [Standing.BARRED, *[Standing.FREE] * 3]
 
 
 def test_of_two_that_were_always_together_neither_is_barred():
     """
-    Nothing tells them apart until one of them runs without the other.
+    The culprit is known only after one of them ran without the other.
     """
-    known = _ends("ab", "ab", "ab")
-    assert _standings(known, "ab") == [Standing.UNCLEAR] * 2
-    known.apply(RequestsCleared(("b",)), 0.0)
-    assert _standings(known, "ab") == [Standing.BARRED, Standing.FREE]
+    fold = _fold_of_crashes("ab", "ab", "ab")
+    assert _statuses(fold, "ab") == [Standing.UNCLEAR] * 2
+    fold.apply(RequestsCleared(("b",)), 0.0)
+    assert _statuses(fold, "ab") == [Standing.BARRED, Standing.FREE]
 
 
-def test_a_request_that_was_there_with_three_causes_is_free_again():
+def test_a_request_in_flight_beside_three_culprits_is_cleared():
     """
-    What is learnt of the others later takes the verdict back.
+    Later crashes of the culprits lift a wrong quarantine.
     """
-    known = _ends("xa", "xb", "xc")
+    fold = _fold_of_crashes("xa", "xb", "xc")
     for number, requests in enumerate(["a", "a", "b", "b", "c", "c"], start=3):
-        known.apply(_ended(number, requests), 0.0)
-    assert _standings(known, "abcx") == [*[Standing.BARRED] * 3, Standing.FREE]
+        fold.apply(_crash(number, requests), 0.0)
+    assert _statuses(fold, "abcx") == [*[Standing.BARRED] * 3, Standing.FREE]
 
 
 def test_an_answer_clears_a_request():
     """
-    And three further ends are needed then.
+    A successful run resets the count, so three further crashes are needed.
     """
-    known = _ends("a", "a", "a")
-    known.apply(RequestsCleared(("a",)), 0.0)
-    assert known.standing("a", 0.0) is Standing.FREE
-    known.apply(_ended(7, "a"), 0.0)
-    assert known.standing("a", 0.0) is Standing.SUSPECT
+    fold = _fold_of_crashes("a", "a", "a")
+    fold.apply(RequestsCleared(("a",)), 0.0)
+    assert fold.standing("a", 0.0) is Standing.FREE
+    fold.apply(_crash(7, "a"), 0.0)
+    assert fold.standing("a", 0.0) is Standing.SUSPECT
 
 
 def test_what_is_remembered_is_bounded_in_time():
     """
-    Each end for 240 s after it was told of last.
+    A crash is remembered for 240 s after its last report.
     """
-    known = _ends("a", "a", "a")
-    assert known.standing("a", 240.0) is Standing.BARRED
-    assert known.standing("a", 240.1) is Standing.FREE
-    assert len(known) == 0
+    fold = _fold_of_crashes("a", "a", "a")
+    assert fold.standing("a", 240.0) is Standing.BARRED
+    assert fold.standing("a", 240.1) is Standing.FREE
+    assert len(fold) == 0
 
 
-def test_what_bars_a_request_is_told_again_while_it_is_asked_for():
+def test_crashes_of_a_quarantined_request_are_republished():
     """
-    Once a minute, and then it is remembered by those who start later as well.
+    It is published once a minute, so that VMs that start later learn of it.
     """
-    known = _ends("ab", "a", "a")
-    assert known.to_tell_again("a", 60.0) == []
-    again = known.to_tell_again("a", 61.0)
+    fold = _fold_of_crashes("ab", "a", "a")
+    assert fold.to_tell_again("a", 60.0) == []
+    again = fold.to_tell_again("a", 61.0)
     assert {record.engine for record in again} == {f"engine-{i}" for i in range(3)}
-    assert known.to_tell_again("a", 62.0) == []
-    assert known.standing("a", 300.0) is Standing.BARRED
+    assert fold.to_tell_again("a", 62.0) == []
+    assert fold.standing("a", 300.0) is Standing.BARRED
     later = EngineEnds()
     for record in again:
         later.apply(record, 0.0)
@@ -125,21 +125,21 @@
 
 def test_what_is_remembered_is_bounded_in_count():
     """
-    256 ends, of 64 requests each.
+    At most 256 crashes with 64 requests each.
     """
-    known = EngineEnds()
+    fold = EngineEnds()
     for number in range(400):
         many = tuple(f"{number}-{index}" for index in range(100))
-        known.apply(EngineEnded(f"engine-{number}", 1, many), 0.0)
-    assert len(known) == 256
-    assert known.standing("0-0", 0.0) is Standing.FREE
-    assert known.standing("399-63", 0.0) is Standing.SUSPECT
-    assert known.standing("399-64", 0.0) is Standing.FREE
+        fold.apply(EngineEnded(f"engine-{number}", 1, many), 0.0)
+    assert len(fold) == 256
+    assert fold.standing("0-0", 0.0) is Standing.FREE
+    assert fold.standing("399-63", 0.0) is Standing.SUSPECT
+    assert fold.standing("399-64", 0.0) is Standing.FREE
 
 
-def test_the_records_survive_the_log():
+def test_records_survive_encoding():
     """
-    With and without the start of the engine's life.
+    With and without the start time of the engine.
     """
     for record in (
         EngineEnded("e", 12, ("a", "b")),
@@ -150,9 +150,9 @@
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_a_request_is_told_apart_by_each_of_its_parts(part):
+def test_a_request_key_depends_on_each_part(part):
     """
-    And their borders cannot be moved.
+    Moving a character from one part to the next also changes the key.
     """
     parts = ["host", "POST", "/path", b"body", "name"]
     changed = list(parts)
@@ -165,15 +165,15 @@
 @given(
     st.lists(st.sets(st.sampled_from("bcdefgh"), max_size=4), min_size=4, max_size=12)
 )
-def test_one_cause_is_barred_and_nobody_else(others):
+def test_one_culprit_is_quarantined_and_no_other_request(others):
     """
-    Whoever else was there, once the cause was there without other suspects, three
-    times with some and three times alone; the others are answered meanwhile or not.
+    Whichever requests were in flight beside it, provided that it also was the only
+    request in flight at three crashes.
     """
-    known = EngineEnds()
+    fold = EngineEnds()
     for number, requests in enumerate(others):
-        known.apply(_ended(number, "a" + "".join(sorted(requests))), 0.0)
+        fold.apply(_crash(number, "a" + "".join(sorted(requests))), 0.0)
     for number in range(3):
-        known.apply(_ended(100 + number, "a"), 0.0)
-    assert known.standing("a", 0.0) is Standing.BARRED
-    assert set(_standings(known, "bcdefgh")) == {Standing.FREE}
+        fold.apply(_crash(100 + number, "a"), 0.0)
+    assert fold.standing("a", 0.0) is Standing.BARRED
+    assert set(_statuses(fold, "bcdefgh")) == {Standing.FREE}
--- a/tests/test_engine_lives.py
+++ b/tests/test_engine_lives.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Engines that start again under the id that they had.
+Engines that restart under the same id.
 
-Nothing that was known of the life before holds for the one after: a node that took an
-engine's old weights, load or silence for the new one's never loaded it again, and sent
-it items that it could not run.
+Weights, load and failures of an incarnation must not be applied to the next one:
+otherwise the restarted engine would not be loaded, or would get items that it cannot
+run.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 MODEL = "model-a"
-#: Starts of the lives of an engine, in Unix milliseconds.
+#: Start times of two incarnations of an engine, in Unix milliseconds.
 FIRST, SECOND = 1_000, 2_000
 
 
@@ -69,7 +69,7 @@
 
 class _Node:
     """
-    What a node remembers of engines.
+    The parts of a node that hold state of engines.
     """
 
     def __init__(self, *entries: EngineEntry) -> None:
@@ -84,7 +84,7 @@
         self.lives = EngineLives(self.view)
         self.pool = EnginePool(self.view, least_outstanding(lambda: 0.0))
         self.paces = EnginePaces(memory)
-        self.silent = SilentEngines(_Mute(), memory)
+        self.silent = SilentEngines(_MuteEngines(), memory)
         self.placement = Placement(self.view, self.pool, self.paces, self.silent)
 
     def put(self, entry: EngineEntry) -> None:
@@ -98,9 +98,9 @@
         return ItemRun.begin(make_job_state(job), job.items[0])
 
 
-class _Mute:
+class _MuteEngines:
     """
-    Engines that answer no report.
+    Engines that do not answer state requests.
     """
 
     async def state(self, engine):
@@ -118,16 +118,16 @@
         (Incarnation("e-2", SECOND), Incarnation("e-1", FIRST), False),
     ],
 )
-def test_a_life_follows_another_if_it_began_later(one, other, follows):
+def test_an_incarnation_follows_one_that_started_earlier(one, other, follows):
     """
-    Of the same engine; one that does not say when it began comes before all others.
+    Only for the same engine; an incarnation without a start time precedes all others.
     """
     assert one.follows(other) == follows
 
 
 def test_an_entry_of_an_earlier_life_is_passed_over():
     """
-    A write may be done seconds after the engine that sent it has crashed.
+    A write may take effect seconds after the engine that sent it has crashed.
     """
     directory = EngineDirectory()
     assert directory.put(_entry(SECOND))
@@ -137,7 +137,7 @@
 
 def test_an_entry_that_claims_a_later_start_does_not_shut_an_engine_out():
     """
-    An engine that lives goes on writing, and its second entry is taken.
+    A running engine keeps writing, and its second entry is stored.
     """
     directory = EngineDirectory()
     directory.put(_entry(10 * SECOND))
@@ -148,7 +148,7 @@
 
 def test_an_entry_of_an_earlier_life_is_passed_over_each_time():
     """
-    Not only the first time, as long as the engine itself goes on writing.
+    Each one is ignored as long as the engine itself keeps writing.
     """
     directory = EngineDirectory()
     for _ in range(3):
@@ -158,7 +158,7 @@
 
 def test_what_was_known_of_the_life_before_is_forgotten():
     """
-    Requests in flight, failures, refusals, pace, and weights that were seen.
+    Requests in flight, failures, refusals, event intervals and weight versions.
     """
     before, after = _entry(FIRST), _entry(SECOND, versions={MODEL: 1})
     node = _Node(before)
@@ -180,7 +180,7 @@
 
 def test_a_place_at_the_life_before_is_not_given_back_to_the_one_after():
     """
-    Requests that end late would make room that is not there.
+    Otherwise a request that ends late would free a slot of the new incarnation.
     """
     before, after = _entry(FIRST), _entry(SECOND)
     node = _Node(before)
@@ -193,7 +193,7 @@
 
 def test_a_life_that_is_over_is_forgotten_also_if_its_entry_went_first():
     """
-    An engine that lost its entry and starts again within a minute.
+    An engine whose entry expires and that restarts within a minute.
     """
     before, after = _entry(FIRST), _entry(SECOND)
     node = _Node(before)
@@ -204,9 +204,9 @@
     assert node.lives.is_over(before.incarnation)
 
 
-def test_an_entry_that_lapses_and_comes_back_is_the_same_life():
+def test_an_entry_that_expires_and_returns_is_the_same_incarnation():
     """
-    What is in flight there still counts.
+    Its requests in flight still count.
     """
     node = _Node(_entry(FIRST))
     node.pool.take(_entry(FIRST))
@@ -217,7 +217,7 @@
 
 def test_an_engine_that_is_gone_is_forgotten_after_a_while(monkeypatch):
     """
-    Otherwise the memory grows with every engine there ever was.
+    Otherwise the tables would grow with every engine that ever ran.
     """
     node = _Node(_entry(FIRST))
     node.pool.take(_entry(FIRST))
@@ -230,10 +230,10 @@
 
 def test_a_silent_engine_that_starts_again_is_not_left_out():
     """
-    And the life before is asked no more.
+    The previous incarnation is no longer probed.
     """
 
-    async def play():
+    async def scenario():
         node = _Node(_entry(FIRST))
         node.silent.note(_entry(FIRST))
         assert _entry(FIRST).incarnation in node.silent
@@ -242,12 +242,12 @@
         assert _entry(SECOND).incarnation not in node.silent
         assert _entry(FIRST).incarnation not in node.silent
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-class _Hanging:
+class _HangingEngines:
     """
-    Engines of which one life never answers.
+    Engines of which one incarnation never answers.
     """
 
     def __init__(self, hangs: Incarnation) -> None:
@@ -293,10 +293,10 @@
 
 def test_a_repeatable_request_is_repeated_at_once():
     """
-    Not when its time is up; the engine of the life before says nothing any more.
+    It does not wait for its timeout, since the crashed engine will not answer.
     """
     node = _Node(_entry(FIRST))
-    engines = _Hanging(_entry(FIRST).incarnation)
+    engines = _HangingEngines(_entry(FIRST).incarnation)
     answer = asyncio.run(_serve_over_a_restart(node, engines, RouteKind.SAFE))
     assert isinstance(answer, EngineAnswer)
     assert engines.asked == [_entry(FIRST).incarnation, _entry(SECOND).incarnation]
@@ -304,10 +304,10 @@
 
 def test_an_unrepeatable_request_has_its_answer_at_once():
     """
-    It may have run, so it is neither called not run nor sent again.
+    It may have run, so it is not reported as not run and not sent again.
     """
     node = _Node(_entry(FIRST))
-    engines = _Hanging(_entry(FIRST).incarnation)
+    engines = _HangingEngines(_entry(FIRST).incarnation)
     outcome = asyncio.run(_serve_over_a_restart(node, engines, RouteKind.UNSAFE))
     assert isinstance(outcome, OutcomeUnknown)
     assert "started again" in outcome.detail
@@ -316,16 +316,16 @@
 
 def test_an_item_leaves_an_engine_that_has_started_again():
     """
-    With the events that it has, which another engine goes on from.
+    It keeps its events, from which another engine resumes.
     """
     node = _Node(_entry(FIRST))
-    engines = _Hanging(_entry(FIRST).incarnation)
+    engines = _HangingEngines(_entry(FIRST).incarnation)
     attempts = Attempts(
         engines, node.paces, node.placement, node.lives, make_end_watch(node.view)
     )
     run = node.item()
 
-    async def play():
+    async def scenario():
         route = make_route("/train/")
         trying = asyncio.create_task(attempts.run(run, route, _entry(FIRST)))
         while run.text.last < 2:
@@ -335,7 +335,7 @@
             await trying
 
     with pytest.raises(GenerationFailedError) as caught:
-        asyncio.run(play())
+        asyncio.run(scenario())
     assert caught.value.outcome == GenerationFailedError.RESTARTED
     assert run.text.last == 2
 
@@ -354,11 +354,11 @@
         return _Held()
 
 
-class _Loader:
+class _LoadableEngine:
     """
-    An engine that takes orders, in whichever of its lives.
+    An engine that carries out load orders and can restart.
 
-    :param first: What it holds at each start.
+    :param first: Weight version after each start.
     """
 
     def __init__(self, first: int) -> None:
@@ -384,8 +384,8 @@
         return OrderOutcome.TAKEN
 
 
-async def _keep_weights(
-    node: _Node, engine: _Loader, play: Callable[[], Awaitable[None]]
+async def _run_keeper(
+    node: _Node, engine: _LoadableEngine, scenario: Callable[[], Awaitable[None]]
 ) -> None:
     keeper = WeightKeeper(
         node.view,
@@ -398,7 +398,7 @@
     )
     task = asyncio.create_task(keeper.run())
     try:
-        await play()
+        await scenario()
     finally:
         task.cancel()
 
@@ -409,60 +409,60 @@
             await asyncio.sleep(0.01)
 
 
-def _named(node: _Node, version: int) -> None:
+def _name_version(node: _Node, version: int) -> None:
     node.view.named_versions[MODEL] = version
 
 
 def test_an_engine_that_starts_again_is_loaded_again():
     """
-    Its report once showed the version, but that was the life before.
+    The version that its previous incarnation reported no longer counts.
     """
-    node, engine = _Node(_entry(FIRST, versions={MODEL: 1})), _Loader(first=1)
-    _named(node, 2)
+    node, engine = _Node(_entry(FIRST, versions={MODEL: 1})), _LoadableEngine(first=1)
+    _name_version(node, 2)
 
-    async def play():
+    async def scenario():
         await _until(lambda: engine.version == 2)
         await asyncio.sleep(0.5)
         engine.start(SECOND)
         node.put(_entry(SECOND, versions={MODEL: 1}))
         await _until(lambda: engine.version == 2)
 
-    asyncio.run(_keep_weights(node, engine, play))
+    asyncio.run(_run_keeper(node, engine, scenario))
     assert [order[0] for order in engine.orders] == [FIRST, SECOND]
 
 
 def test_a_report_of_another_life_is_not_credited_to_the_one_known():
     """
-    The engine has started again, and its entry does not say so yet: no order is given
-    by the count of the one life to the other.
+    The engine has restarted but has not yet written its entry: it must not get an order
+    with the previous incarnation's order count.
     """
-    node, engine = _Node(_entry(FIRST, versions={MODEL: 1})), _Loader(first=1)
+    node, engine = _Node(_entry(FIRST, versions={MODEL: 1})), _LoadableEngine(first=1)
     engine.start(SECOND)
-    _named(node, 2)
+    _name_version(node, 2)
 
-    async def play():
+    async def scenario():
         await asyncio.sleep(0.6)
         assert engine.orders == []
         node.put(_entry(SECOND, versions={MODEL: 1}))
         await _until(lambda: engine.version == 2)
 
-    asyncio.run(_keep_weights(node, engine, play))
+    asyncio.run(_run_keeper(node, engine, scenario))
     assert [order[0] for order in engine.orders] == [SECOND]
 
 
-def test_a_load_of_the_life_before_does_not_hold_up_the_one_after(monkeypatch):
+def test_a_load_of_the_previous_incarnation_does_not_delay_the_next(monkeypatch):
     """
-    Its end is not waited for, 4 s, before the new life is loaded.
+    The new incarnation is loaded without waiting for the old load's timeout.
     """
-    node, engine = _Node(_entry(FIRST, versions={MODEL: 1})), _Loader(first=1)
-    _named(node, 2)
-    usual = engine.order
+    node, engine = _Node(_entry(FIRST, versions={MODEL: 1})), _LoadableEngine(first=1)
+    _name_version(node, 2)
+    original_order = engine.order
 
     async def lost(at, order):
         if engine.started_at == FIRST:
             engine.orders.append((FIRST, order.version, order.orders_taken))
             return OrderOutcome.UNKNOWN
-        return await usual(at, order)
+        return await original_order(at, order)
 
     async def silent(at):
         if engine.started_at == FIRST and engine.orders:
@@ -474,12 +474,12 @@
     monkeypatch.setattr(engine, "order", lost)
     monkeypatch.setattr(engine, "state", silent)
 
-    async def play():
+    async def scenario():
         await _until(lambda: engine.orders)
         await asyncio.sleep(0.4)
         engine.start(SECOND)
         node.put(_entry(SECOND, versions={MODEL: 1}))
         await _until(lambda: engine.version == 2)
 
-    asyncio.run(_keep_weights(node, engine, play))
+    asyncio.run(_run_keeper(node, engine, scenario))
     assert [order[0] for order in engine.orders] == [FIRST, SECOND]
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The gateway's pure decisions: routes, engines, records.
+The gateway's pure decisions: routes, engine registry, job records, weight loads.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 def test_the_longest_prefix_of_the_host_wins():
     """
-    Another host, or no prefix, has no route.
+    A path without a matching prefix, or on another host, has no route.
     """
     routes = [make_route("/a/"), make_route("/a/b/"), make_route("/", host="other")]
     table = RouteTable.from_config(routes)
@@ -50,7 +50,7 @@
 
 def test_shares_of_a_route_follow_their_weights():
     """
-    A weight of 0 gets nothing, whatever is drawn.
+    A service with weight 0 gets no requests.
     """
     shares = (ServiceShare("a", 90), ServiceShare("b", 0), ServiceShare("c", 10))
     route = make_route("/", shares=shares)
@@ -58,9 +58,9 @@
     assert (drawn.count("a"), drawn.count("b"), drawn.count("c")) == (90, 0, 10)
 
 
-def test_an_engine_whose_entry_goes_is_left_at_once():
+def test_an_engine_whose_entry_is_removed_is_unusable_at_once():
     """
-    In calm times a missing entry means that the engine is leaving.
+    Without a store outage, a removed entry means that the engine is leaving.
     """
     directory = EngineDirectory()
     directory.put(make_engine_entry("e-1"))
@@ -70,8 +70,8 @@
 
 def test_an_entry_that_lapses_around_an_outage_is_bridged_for_a_while():
     """
-    Until a living engine would have written it again; but not one of an engine that
-    had said that it drains.
+    It stays usable until a running engine would have written it again, unless the
+    engine was draining.
     """
     directory = EngineDirectory()
     directory.put(make_engine_entry("e-1"))
@@ -83,9 +83,9 @@
     assert directory.usable("desk", 12.6) == []
 
 
-def test_an_entry_that_goes_late_after_an_outage_is_bridged_briefly():
+def test_an_entry_removed_late_after_an_outage_is_bridged_briefly():
     """
-    A living engine has written its entry again by then; this one leaves.
+    A running engine would have written its entry again by then.
     """
     directory = EngineDirectory()
     directory.put(make_engine_entry("e-1"))
@@ -106,7 +106,7 @@
 )
 def test_records_survive_their_bytes(record):
     """
-    Every type, to the last field.
+    Every record type with all fields.
     """
     assert decode_job_record(encode_job_record(record)) == record
 
@@ -141,23 +141,24 @@
 
 def test_a_job_that_is_opened_twice_is_taken_once():
     """
-    Its submitter tried two nodes, each of which stored the items; the first counts.
+    A caller may submit a job to two nodes, each of which stores the items; the first
+    record counts.
     """
-    book = JobBook()
+    fold = JobBook()
     first, second = make_opened(make_job(), 1), make_opened(make_job(), 9)
     for record in [first, JobEnded("job-a"), second]:
-        book.apply(record)
-    assert book.get("job-a").job == first
-    assert book.get("job-a").ended
+        fold.apply(record)
+    assert fold.get("job-a").job == first
+    assert fold.get("job-a").ended
 
 
-def test_a_job_is_open_until_it_is_listed_whole_also_where_its_items_are_unknown():
+def test_a_job_is_open_until_every_item_has_a_result():
     """
-    Nodes that do not run it have not read them.
+    Also on nodes that have not read its items; a repeated result counts once.
     """
     listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
-    assert len(_book_with(listed[0], listed[0]).open_jobs()) == 1
-    assert _book_with(*listed).open_jobs() == []
+    assert len(_fold_with(listed[0], listed[0]).open_jobs()) == 1
+    assert _fold_with(*listed).open_jobs() == []
 
 
 def _weights(versions: dict[str, int], oldest: int, **changes: object) -> ModelWeights:
@@ -168,9 +169,9 @@
 @pytest.mark.parametrize(
     ("versions", "oldest", "wanted"),
     [
-        # Half of the engines follow; the others still serve what is asked.
+        # Half of the engines load the new version; the others still serve the old one.
         ({"a": 4, "b": 4, "c": 4, "d": 4}, 4, ["a", "b"]),
-        # Those that are too old for the job at hand come first, all of them.
+        # Engines that are too old for the current job all come first.
         ({"a": 4, "b": 3, "c": 3, "d": 3}, 4, ["b", "c", "d"]),
         ({"a": 5, "b": 5, "c": 4, "d": 3}, 4, ["d"]),
         # A job that wants the newest version needs every engine.
@@ -181,15 +182,15 @@
 )
 def test_half_of_the_engines_follow_and_all_that_are_too_old(versions, oldest, wanted):
     """
-    Version 5 has been named.
+    The trainer has named version 5.
     """
     loads = wanted_loads([_weights(versions, oldest)])
     assert loads == [(name, "m") for name in wanted]
 
 
-def test_the_model_that_the_fewest_engines_can_serve_loads_first():
+def test_the_model_with_the_fewest_usable_engines_loads_first():
     """
-    Otherwise its step waits whole while others get a few more places.
+    Otherwise its step would stall while other models gain little.
     """
     models = ("m", "n")
     served = _weights({"a": 5, "b": 4, "c": 4, "d": 3}, 4, models=models)
@@ -199,9 +200,9 @@
     assert sorted(loads[3:]) == [("d", "m"), ("d", "n")]
 
 
-def test_of_models_alike_the_one_that_was_named_first_loads_first():
+def test_of_equal_models_the_one_named_first_loads_first():
     """
-    Its trainer has waited longest; then they take turns.
+    Its trainer has waited longest; then the models alternate.
     """
     versions = {"a": 3, "b": 3}
     first = _weights(versions, 4, model="n", models=("m", "n"))
@@ -210,52 +211,52 @@
     assert loads == [("a", "n"), ("a", "m"), ("b", "n"), ("b", "m")]
 
 
-def _book_with(*records) -> JobBook:
-    book = JobBook()
+def _fold_with(*records) -> JobBook:
+    fold = JobBook()
     for record in [make_opened(make_job()), *records]:
-        book.apply(record)
-    return book
+        fold.apply(record)
+    return fold
 
 
 def test_a_failure_that_is_appended_twice_counts_once():
     """
-    An append without an answer is made again, though it may have been done.
+    An append without an answer is repeated, although it may have taken effect.
     """
     once = ItemFailed("job-a", "item-0", "f-1")
     scoring = ItemFailed("job-a", "item-0", "f-2", True)
     other = ItemFailed("job-a", "item-0", "f-3")
-    state = _book_with(once, once, scoring, scoring, other).get("job-a")
+    state = _fold_with(once, once, scoring, scoring, other).get("job-a")
     assert state.failures("item-0") == 2
     assert state.score_failures("item-0") == 1
 
 
 def test_a_job_is_kept_while_it_is_open_and_for_its_readers_after():
     """
-    One whose items are all listed is open until its end is told.
+    A job whose items all have results is retained like an open one until it is ended.
     """
     listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
-    book = _book_with(*listed)
-    book.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
-    assert book.get("job-a") is not None
-    book.apply(JobEnded("job-a"), now=299.0)
-    book.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
-    assert book.get("job-a") is None
+    fold = _fold_with(*listed)
+    fold.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
+    assert fold.get("job-a") is not None
+    fold.apply(JobEnded("job-a"), now=299.0)
+    fold.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
+    assert fold.get("job-a") is None
 
 
 def test_an_ended_job_can_still_be_read_for_a_while():
     """
-    Its readers come back until so long after it was accepted.
+    Its results are retained for a limited time after it was accepted.
     """
-    book = _book_with(JobEnded("job-a"))
-    book.forget(now=119.0, ended_retention=120.0, open_retention=300.0)
-    assert book.get("job-a") is not None
-    book.forget(now=121.0, ended_retention=120.0, open_retention=300.0)
-    assert book.get("job-a") is None
+    fold = _fold_with(JobEnded("job-a"))
+    fold.forget(now=119.0, ended_retention=120.0, open_retention=300.0)
+    assert fold.get("job-a") is not None
+    fold.forget(now=121.0, ended_retention=120.0, open_retention=300.0)
+    assert fold.get("job-a") is None
 
 
 def test_engines_load_two_fifths_of_a_pool_at_once():
     """
-    And no more: beyond what the sheets allow every load takes longer. One always may.
+    More concurrent loads would slow down all of them. One load is always allowed.
     """
     counts = [engines_at_once(engines) for engines in (1, 2, 5, 6, 7, 22, 23)]
     assert counts == [1, 1, 2, 2, 2, 8, 9]
@@ -268,7 +269,7 @@
 
 def test_each_engine_follows_two_of_several_models():
     """
-    And each model is followed by as many engines as any other, give or take one.
+    Each model is followed by the same number of engines, give or take one.
     """
     engines = [f"e-{n:02}" for n in range(22)]
     models = ("a", "b", "c", "d")
@@ -280,7 +281,7 @@
 
 def test_every_engine_follows_where_there_are_one_or_two_models():
     """
-    Or where there are few engines.
+    Also if there are few engines.
     """
     assert _followed(["a", "b", "c"], ("m",), "m") == ["a", "b", "c"]
     assert _followed(["a", "b", "c"], ("m", "n"), "n") == ["a", "b", "c"]
@@ -288,9 +289,9 @@
     assert _followed([], ("m",), "m") == []
 
 
-def test_an_engine_that_goes_makes_no_other_begin_but_one_in_its_place():
+def test_following_engines_keep_following_when_one_is_removed():
     """
-    Those that have followed go on, wherever they stand among the rest.
+    Otherwise a change of the pool would cause needless loads.
     """
     models = ("a", "b", "c")
     versions = {"e-1": 1, "e-2": 4, "e-3": 5, "e-4": 5, "e-5": 1, "e-6": 1}
@@ -302,22 +303,22 @@
     assert {"e-2", "e-4"} < set(after)
 
 
-def _kept(first: int, count: int, follows: str, chain: str) -> ItemKept:
+def _checkpoint(first: int, count: int, follows: str, chain: str) -> ItemKept:
     place = StoredText((first, count), 1)
     return ItemKept("job-a", "item-0", first, count, follows, chain, (1,), place)
 
 
 def test_a_whole_text_takes_the_place_of_a_shorter_one_of_another_run():
     """
-    A node whose first record came too late is not shut out for good.
+    Otherwise a node whose first record came late could never store a checkpoint.
     """
-    state = _book_with(
-        _kept(1, 4, "", "c-1"),
-        _kept(5, 2, "c-2", "c-2"),
-        _kept(1, 6, "", "c-2"),
-        _kept(7, 1, "c-2", "c-2"),
-        _kept(1, 5, "", "c-1"),
+    state = _fold_with(
+        _checkpoint(1, 4, "", "c-1"),
+        _checkpoint(5, 2, "c-2", "c-2"),
+        _checkpoint(1, 6, "", "c-2"),
+        _checkpoint(7, 1, "c-2", "c-2"),
+        _checkpoint(1, 5, "", "c-1"),
     ).get("job-a")
-    kept = state.kept["item-0"]
-    assert (kept.count, kept.chain) == (7, "c-2")
-    assert [part.offsets for part in kept.parts] == [(1, 6), (7, 1)]
+    checkpoint = state.kept["item-0"]
+    assert (checkpoint.count, checkpoint.chain) == (7, "c-2")
+    assert [part.offsets for part in checkpoint.parts] == [(1, 6), (7, 1)]
--- a/tests/test_item_placement.py
+++ b/tests/test_item_placement.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which engine an item goes to, when it moves, and which texts count as long.
+Placement of items, moves between engines, and classification of long texts.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 def test_a_long_text_goes_to_the_fastest_engine():
     """
-    Its step waits for it.
+    A step ends with its longest text.
     """
     seats = [Seat("slow", 0, 0, 0.052), Seat("fast", 9, 3, 0.040)]
     assert _chosen(seats, is_long=True) == "fast"
@@ -27,7 +27,7 @@
 
 def test_a_long_text_goes_apart_from_others_where_engines_are_alike():
     """
-    Each request that runs beside makes its events later.
+    Among equally fast engines, the one with fewer long texts is chosen.
     """
     seats = [Seat("with-long", 3, 2, 0.0400), Seat("without", 5, 0, 0.0403)]
     assert _chosen(seats, is_long=True) == "without"
@@ -35,7 +35,7 @@
 
 def test_a_short_text_goes_where_no_long_one_runs():
     """
-    Also to a somewhat slower engine: it has time until the long ones end.
+    Also to a somewhat slower engine, since a short text does not delay its step.
     """
     seats = [Seat("fast", 3, 2, 0.040), Seat("slower", 9, 0, 0.052)]
     assert _chosen(seats, is_long=False) == "slower"
@@ -43,15 +43,15 @@
 
 def test_a_short_text_goes_to_no_engine_that_is_slow():
     """
-    It would become the one that its step waits for.
+    There, it could become the text that ends last.
     """
     seats = [Seat("fast", 11, 5, 0.040), Seat("slow", 0, 0, 0.150)]
     assert _chosen(seats, is_long=False) == "fast"
 
 
-def test_an_engine_of_unknown_pace_is_tried():
+def test_an_engine_of_unknown_speed_is_tried():
     """
-    One that was left alone for its slowness gets another chance.
+    Otherwise an engine once found slow would never be measured again.
     """
     seats = [Seat("known", 2, 0, 0.050), Seat("unknown", 0, 0, None)]
     assert _chosen(seats, is_long=True) == "unknown"
@@ -61,7 +61,7 @@
 
 def test_a_text_moves_only_for_what_it_gains():
     """
-    Not for a few events, nor for the noise of a pace.
+    Neither for a few remaining events nor for small differences in speed.
     """
     assert is_worth_moving(100, 0.150, 0.040)
     assert is_worth_moving(100, 0.050, 0.040)
@@ -71,34 +71,34 @@
 
 def test_a_text_that_has_moved_moves_again_only_for_more():
     """
-    Paces change with what runs at an engine, sooner than a text ends.
+    Otherwise texts would follow every change of the engines' load.
     """
     assert is_worth_moving(50, 0.050, 0.040, moves=0)
     assert not is_worth_moving(50, 0.050, 0.040, moves=2)
     assert is_worth_moving(50, 0.150, 0.040, moves=2)
 
 
-def test_the_texts_of_the_longest_steps_are_told_from_the_rest():
+def test_texts_with_large_estimates_are_classified_as_long():
     """
-    Of texts with a tenth of long ones, whose guesses are off by half their size, most
-    long ones are counted as such before they begin, and few short ones are.
+    With inaccurate estimates, most long texts and few short ones are classified as long
+    before they start.
     """
     random = Random(7)
     events = [
         150 if random.random() < 0.1 else random.randint(5, 50) for _ in range(400)
     ]
-    guesses = [round(50 * n * random.lognormvariate(0, 0.5)) for n in events]
+    estimates = [round(50 * n * random.lognormvariate(0, 0.5)) for n in events]
     lengths = TextLengths()
-    lengths.announce(guesses)
-    long = [lengths.is_long(guess, 0) for guess in guesses]
-    found = sum(is_long for is_long, n in zip(long, events, strict=True) if n == 150)
-    assert found >= 0.8 * events.count(150)
+    lengths.announce(estimates)
+    long = [lengths.is_long(estimate, 0) for estimate in estimates]
+    detected = sum(is_long for is_long, n in zip(long, events, strict=True) if n == 150)
+    assert detected >= 0.8 * events.count(150)
     assert sum(long) <= 0.25 * len(long)
 
 
 def test_a_text_that_has_become_long_counts_as_long():
     """
-    Whatever was expected of it.
+    Also if its estimate was low.
     """
     lengths = TextLengths()
     lengths.announce([1000] * 50 + [5000] * 10)
@@ -108,21 +108,21 @@
     assert lengths.is_long(1000, 100)
 
 
-def test_what_is_left_follows_what_an_event_holds():
+def test_remaining_events_follow_the_tokens_per_event():
     """
-    Tokens for each event are learnt from the texts that ended.
+    The number of tokens per event is estimated from finished texts.
     """
     lengths = TextLengths()
     for _ in range(9):
         lengths.finished(1000, 10)
     assert lengths.left(3000, 5) == 25
-    # It has outgrown its guess: the tail is heavy.
+    # The text is longer than its estimate.
     assert lengths.left(1000, 40) == 20
 
 
-def test_without_guesses_no_text_is_long():
+def test_without_estimates_no_text_is_long():
     """
-    Then all go where the least runs, as short ones do.
+    All texts are placed like short ones then.
     """
     lengths = TextLengths()
     lengths.announce([0, 0])
--- a/tests/test_page_size.py
+++ b/tests/test_page_size.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Nodes that catch up together over one link.
+Catching up of many nodes over one shared link.
 """
 
 from __future__ import annotations
@@ -16,40 +16,41 @@
 from saddledoord.ports import StoreAwayError
 
 
-#: What the link carries for all readers together, in bytes a second.
+#: Bandwidth that all readers share, in bytes per second.
 _LINK = 80_000_000
-_MOST = 1_048_576
-#: How long a reader waits for a page, and pauses after one that did not come, in
-#: seconds.
-_PATIENCE = 0.4
-_PAUSE = 0.1
+_MAX_PAGE = 1_048_576
+#: Read timeout and delay before the next read, in seconds.
+_READ_TIMEOUT = 0.4
+_RETRY_DELAY = 0.1
 
 
-def _seconds_to_catch_up(readers: int, backlog: int, sizes: PageSize) -> float | None:
+def _seconds_to_catch_up(
+    readers: int, backlog: int, page_size: PageSize
+) -> float | None:
     """
-    Return when readers in step have read what they missed, or none after a minute.
+    Return when readers in lockstep have read their backlog; none after a minute.
 
-    Pages that come too late are sent all the same.
+    Pages that arrive after the timeout use up bandwidth nevertheless.
     """
-    left, now = backlog, 0.0
+    backlog_left, now = backlog, 0.0
     while now < 60.0:
-        page = min(left, sizes.current)
-        needed = readers * page / _LINK
-        if needed > _PATIENCE:
-            sizes.failed()
-            now += max(needed, _PATIENCE + _PAUSE)
+        page = min(backlog_left, page_size.current)
+        transfer_time = readers * page / _LINK
+        if transfer_time > _READ_TIMEOUT:
+            page_size.failed()
+            now += max(transfer_time, _READ_TIMEOUT + _RETRY_DELAY)
             continue
-        sizes.answered()
-        now += needed
-        left -= page
-        if not left:
+        page_size.answered()
+        now += transfer_time
+        backlog_left -= page
+        if not backlog_left:
             return now
     return None
 
 
-class _Fixed(PageSize):
+class _FixedPageSize(PageSize):
     """
-    The mechanism switched off.
+    A page size that does not adapt.
     """
 
     def failed(self) -> None:
@@ -57,55 +58,55 @@
 
 
 @pytest.mark.parametrize("readers", [10, 148, 320])
-def test_nodes_that_come_back_together_catch_up_at_the_speed_of_the_link(readers):
+def test_nodes_that_return_together_catch_up(readers):
     """
-    148 nodes that miss 2 MB each have it after 6.6 s, where 3.7 s are the least, and
-    320 after 16.2 s, where 8 s are; without smaller pages they never come on.
+    They need at most about twice the time of the transfer; with pages of a fixed size,
+    many nodes make no progress.
     """
     backlog = 2_000_000
     least = readers * backlog / _LINK
-    took = _seconds_to_catch_up(readers, backlog, PageSize(_MOST))
-    assert took is not None
-    assert took < 2 * least + 1.0
+    seconds = _seconds_to_catch_up(readers, backlog, PageSize(_MAX_PAGE))
+    assert seconds is not None
+    assert seconds < 2 * least + 1.0
     if readers > 100:
-        assert _seconds_to_catch_up(readers, backlog, _Fixed(_MOST)) is None
+        assert _seconds_to_catch_up(readers, backlog, _FixedPageSize(_MAX_PAGE)) is None
 
 
-def test_a_calm_store_is_asked_for_whole_pages():
+def test_the_page_size_recovers_to_its_maximum():
     """
-    Also after an outage, a few reads later.
+    The page size recovers after an outage.
     """
-    sizes = PageSize(_MOST)
+    page_size = PageSize(_MAX_PAGE)
     for _ in range(10):
-        sizes.failed()
-    assert sizes.current == 16_384
+        page_size.failed()
+    assert page_size.current == 16_384
     for _ in range(63):
-        sizes.answered()
-    assert sizes.current == _MOST
+        page_size.answered()
+    assert page_size.current == _MAX_PAGE
 
 
-class _NarrowLog(FakeLog):
+class _SlowLog(FakeLog):
     """
-    A log that answers no read for more than so many bytes.
+    A log that answers no read of more than a number of bytes.
     """
 
-    def __init__(self, room: int) -> None:
+    def __init__(self, largest_read: int) -> None:
         super().__init__(largest_record=100_000)
-        self._room = room
+        self._largest_read = largest_read
 
     async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        if largest > self._room:
+        if largest > self._largest_read:
             raise StoreAwayError("too slow")
         return await super().read(stream, start, wait, largest, patience)
 
 
 def test_a_follower_asks_for_less_until_it_is_answered():
     """
-    And goes on from where it was.
+    It reads every record once and in order.
     """
 
-    async def play():
-        log = _NarrowLog(room=100_000)
+    async def scenario():
+        log = _SlowLog(largest_read=100_000)
         await log.append("jobs", [bytes(10_000) for _ in range(50)])
         seen = []
         follower = LogFollower(log, "jobs", lambda offset, data: seen.append(offset))
@@ -116,4 +117,4 @@
         task.cancel()
         assert seen == list(range(50))
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Policies: choice of engine, fair queueing, retry budgets, waves, leases, membership.
+Routing policies, fair queueing, retry budgets, weight waves, leases and membership.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 def test_least_outstanding_takes_the_least_share_of_slots():
     """
-    Work in flight counts per slot, so a larger engine gets more.
+    Requests in flight are counted per slot, so a larger engine gets more.
     """
     choose = least_outstanding(Random(1).random)
     small = Candidate("small", slots=2, own=1)
@@ -51,7 +51,7 @@
 
 def test_least_outstanding_breaks_ties_at_random():
     """
-    Nodes with nothing in flight do not all take the same engine.
+    Nodes without requests in flight do not all choose the same engine.
     """
     choose = least_outstanding(Random(1).random)
     idle = [Candidate(str(n), slots=4, own=0) for n in range(4)]
@@ -60,17 +60,17 @@
 
 def _connections(policies: list[Choose], engines: int) -> tuple[int, float]:
     """
-    Return the connections that nodes open to engines for 30 requests each, a tenth of
-    which come while another is under way, and the busiest engine over the mean.
+    Return how many connections nodes open for 30 requests each, a tenth of which come
+    while another is in flight, and the busiest engine's load relative to the mean.
     """
-    chance = Random(7)
+    rng = Random(7)
     used: set[tuple[int, str]] = set()
     served: Counter[str] = Counter()
     for node, choose in enumerate(policies):
         for _ in range(30):
             idle = [Candidate(f"e-{n}", slots=6, own=0) for n in range(engines)]
             name = choose(idle).name
-            if chance.random() < 0.1:
+            if rng.random() < 0.1:
                 busy = [replace(c, own=int(c.name == name)) for c in idle]
                 name = choose(busy).name
             used.add((node, name))
@@ -80,8 +80,7 @@
 
 def test_nodes_keep_to_few_engines_of_many_in_orders_of_their_own():
     """
-    195 nodes before 14 engines: 383 connections, and 2,406 with ties at random. The
-    busiest engine has 1.2 times the mean.
+    Otherwise every node opens a connection to every engine. The load stays even.
     """
     nodes = [f"vm-{n}" for n in range(195)]
     before, _ = _connections(
@@ -95,19 +94,21 @@
 
 def test_a_node_with_much_in_flight_uses_all_engines_alike():
     """
-    Its own order only decides between engines that have the same of it.
+    The node's order only breaks ties.
     """
     choose = own_order("vm-1")
     own: Counter[str] = Counter()
     for _ in range(28):
-        all_of = [Candidate(f"e-{n}", slots=6, own=own[f"e-{n}"]) for n in range(14)]
-        own[choose(all_of).name] += 1
+        candidates = [
+            Candidate(f"e-{n}", slots=6, own=own[f"e-{n}"]) for n in range(14)
+        ]
+        own[choose(candidates).name] += 1
     assert set(own.values()) == {2}
 
 
-def test_a_flood_only_lengthens_its_own_line():
+def test_a_flood_delays_only_its_own_partner():
     """
-    A partner with one request is served before a flood's second.
+    A partner's only request is served before the second one of a flood.
     """
     queue: FairQueue[str] = FairQueue(100)
     for number in range(50):
@@ -116,7 +117,7 @@
     assert "calm" in [queue.pop(), queue.pop()]
 
 
-def test_a_flood_gives_way_in_a_full_queue():
+def test_a_flood_is_displaced_from_a_full_queue():
     """
     The request that would be served last is displaced; a later one is refused.
     """
@@ -128,7 +129,7 @@
     assert (pushed.queued, pushed.displaced) == (True, "flood 2")
 
 
-def test_cost_counts_not_requests():
+def test_fairness_is_by_cost_not_by_requests():
     """
     A partner with long requests gets fewer of them through.
     """
@@ -142,7 +143,7 @@
 
 def test_training_waits_but_does_not_starve():
     """
-    With both classes waiting, training gets one grant in four.
+    While both classes wait, training gets one request in four.
     """
     queue: FairQueue[str] = FairQueue(100)
     for _ in range(20):
@@ -153,7 +154,7 @@
 
 def test_a_blocked_class_does_not_block_the_other():
     """
-    A sample that waits for a version lets guests pass.
+    Interactive requests pass a sample that waits for a weight version.
     """
     queue: FairQueue[str] = FairQueue(10)
     queue.push(_TRAINING, "trainer", 1, 1, "trainer")
@@ -164,7 +165,7 @@
 
 def test_retries_are_a_share_of_first_attempts():
     """
-    With every attempt failing, 100 requests cause 10 retries and the burst.
+    If every attempt fails, 100 requests cause 10 retries plus the burst.
     """
     budget = RetryBudget(0.1, 5.0)
     retries = 0
@@ -176,7 +177,7 @@
 
 def test_a_wave_leaves_capacity():
     """
-    Everyone stages at once, and only a share activates.
+    All engines stage at once, but only a share of them activates.
     """
     engines = [EngineWeights(f"e{n}", 1, -1) for n in range(4)]
     assert {o.action for o in next_orders(engines, "m", 2, 0.5)} == {"stage"}
@@ -186,9 +187,9 @@
     assert len(next_orders(busy, "m", 2, 0.5)) == 1
 
 
-def test_a_dead_engine_holds_up_no_wave():
+def test_a_dead_engine_delays_no_wave():
     """
-    It gets no order, and the others' wave does not wait for it.
+    A dead engine gets no order, and the other engines do not wait for it.
     """
     engines = [EngineWeights("dead", -1, -1, alive=False), EngineWeights("e", 1, 2)]
     assert [o.engine for o in next_orders(engines, "m", 2, 0.5)] == ["e"]
@@ -196,7 +197,7 @@
 
 def test_a_takeover_is_void_after_a_newer_renewal():
     """
-    The holder renewed between what the taker saw and its claim.
+    The holder renewed the lease after the claimant last read it.
     """
     fold = LeaseFold().apply(0, LeaseClaim("x", "l", "vm-a", -1))
     fold = fold.apply(1, LeaseRenewal("l", 0))
@@ -208,7 +209,7 @@
 
 def test_an_old_holders_records_do_nothing():
     """
-    Its renewal and release carry a fencing number that is not the lease's any more.
+    Its renewal and release carry an outdated fencing number.
     """
     fold = LeaseFold().apply(0, LeaseClaim("x", "l", "vm-a", -1))
     fold = fold.apply(1, LeaseClaim("y", "l", "vm-b", 0))
@@ -218,16 +219,16 @@
 
 def test_a_repeated_claim_takes_nothing_again():
     """
-    An append whose answer was lost stands twice; the lease was released meanwhile.
+    A claim that is appended again after a lost answer does not undo a release.
     """
     claim = LeaseClaim("x", "l", "vm-a", -1)
     fold = LeaseFold().apply(0, claim).apply(1, LeaseRelease("l", 0)).apply(2, claim)
     assert fold.get("l").released
 
 
-def test_the_taker_waits_longer_than_the_holder_acts():
+def test_the_claimant_waits_longer_than_the_holder_acts():
     """
-    The holder's term runs from before its append, the taker's from after its read.
+    The holder's term counts from before its append, the claimant's from after its read.
     """
     held = HeldLease("l", 0, deadline=10.0 + 6.0)
     watch = LeaseWatch(6.0)
@@ -244,7 +245,8 @@
 
 def test_an_entry_of_a_vms_next_process_wins():
     """
-    A restart begins its numbers anew, and still replaces the last process's entry.
+    A restarted VM numbers its entries anew; they still replace those of its previous
+    process.
     """
     table = MemberTable(5.0)
     assert table.offer(_entry(9), 0.0)
@@ -263,9 +265,9 @@
     assert not table.ranks()
 
 
-def test_rendezvous_moves_only_what_the_gone_node_had():
+def test_rendezvous_moves_only_the_keys_of_a_removed_node():
     """
-    When a node goes, keys of the others stay where they were.
+    Keys of the remaining nodes do not move.
     """
     nodes = [f"vm-{n}" for n in range(8)]
     keys = [f"key-{n}" for n in range(200)]
@@ -277,7 +279,7 @@
 
 def test_training_work_needs_a_version_that_the_engine_reported():
     """
-    An engine that reported none, or an old one, gets no training work.
+    An engine that reported no version or an older one gets no training work.
     """
     need = Need("m", 3)
     new = BackendReport("e", True, 0.0, 0.0, versions={"m": 3})
--- a/tests/test_texts.py
+++ b/tests/test_texts.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Texts that are kept apart from the records that every node reads.
+Storage of texts in a stream of their own.
 """
 
 from __future__ import annotations
@@ -24,102 +24,102 @@
 
 def test_a_text_larger_than_a_record_comes_back_whole():
     """
-    Cut into records, and into several appends, between texts that are short or empty.
+    It is split into records and several appends, between short and empty texts.
     """
     log = FakeLog()
-    made = [b"short", bytes(range(256)) * 50, b"", b"end"]
+    payloads = [b"short", bytes(range(256)) * 50, b"", b"end"]
 
-    async def play():
-        written = await _store(log).write(made)
-        return written, await _store(log).read(written)
+    async def scenario():
+        stored = await _store(log).write(payloads)
+        return stored, await _store(log).read(stored)
 
-    written, read = asyncio.run(play())
-    assert read == made
-    assert [text.size for text in written] == [len(text) for text in made]
+    stored, read = asyncio.run(scenario())
+    assert read == payloads
+    assert [text.size for text in stored] == [len(text) for text in payloads]
 
 
 def test_a_text_whose_append_lost_its_answer_is_written_again():
     """
-    It stands in the log twice; one of the copies is named.
+    The log then holds it twice; one copy is referenced.
     """
     log = FakeLog()
     log.lose = 1
 
-    async def play():
-        written = await _store(log).write([b"text"])
-        return await _store(log).read(written)
+    async def scenario():
+        stored = await _store(log).write([b"text"])
+        return await _store(log).read(stored)
 
-    assert asyncio.run(play()) == [b"text"]
+    assert asyncio.run(scenario()) == [b"text"]
     assert log.records["texts"] == [b"text", b"text"]
 
 
 def test_neighbouring_texts_are_read_at_once_and_by_one_reader():
     """
-    A hundred items that are taken up together cost one read.
+    A hundred items that start together cost one read.
     """
     log = FakeLog()
 
-    async def play():
-        written = await _store(log).write([b"%d" % n for n in range(100)])
+    async def scenario():
+        stored = await _store(log).write([b"%d" % n for n in range(100)])
         store = _store(log)
-        return await asyncio.gather(*(store.read([text]) for text in written))
+        return await asyncio.gather(*(store.read([text]) for text in stored))
 
-    assert asyncio.run(play()) == [[b"%d" % n] for n in range(100)]
+    assert asyncio.run(scenario()) == [[b"%d" % n] for n in range(100)]
     assert log.reads["texts"] == 1
 
 
 def test_readers_that_wait_behind_a_failed_read_fail_at_once():
     """
-    Each would wait for the store's silence in turn otherwise.
+    Otherwise each of them would wait for its own timeout.
     """
     log = FakeLog()
 
-    async def play():
-        written = await _store(log).write([b"%d" % n for n in range(9)])
+    async def scenario():
+        stored = await _store(log).write([b"%d" % n for n in range(9)])
         log.away = True
         store = _store(log)
-        reads = (store.read([text]) for text in written)
+        reads = (store.read([text]) for text in stored)
         return await asyncio.gather(*reads, return_exceptions=True)
 
-    outcomes = asyncio.run(play())
+    outcomes = asyncio.run(scenario())
     assert all(isinstance(outcome, StoreAwayError) for outcome in outcomes)
     assert log.reads["texts"] == 1
 
 
 def test_a_text_that_the_log_does_not_hold_is_an_error():
     """
-    Not an empty text.
+    It must not be read as an empty text.
     """
     with pytest.raises(StoreAwayError):
         asyncio.run(_store(FakeLog()).read([StoredText((3,), 10)]))
 
 
-def test_what_is_remembered_is_bounded(monkeypatch):
+def test_the_cache_of_texts_is_bounded(monkeypatch):
     """
-    The oldest texts are read again.
+    The oldest texts are evicted and read again.
     """
     monkeypatch.setattr(texts_module, "_REMEMBERED", 1000)
     log = FakeLog()
 
-    async def play():
+    async def scenario():
         store = _store(log)
-        written = await store.write([bytes(400)] * 10)
-        await store.read(written[-1:])
+        stored = await store.write([bytes(400)] * 10)
+        await store.read(stored[-1:])
         assert log.reads["texts"] == 0
-        return await store.read(written[:1])
+        return await store.read(stored[:1])
 
-    assert asyncio.run(play()) == [bytes(400)]
+    assert asyncio.run(scenario()) == [bytes(400)]
     assert log.reads["texts"] == 1
 
 
-def test_callers_that_want_the_log_s_end_share_reads():
+def test_callers_that_synchronise_with_the_log_share_reads():
     """
-    Those who wait behind a read are answered by the next one, all of them.
+    All callers that wait for a running read are served by the next one.
     """
     log = FakeLog()
     seen: list[bytes] = []
 
-    async def play():
+    async def scenario():
         follower = LogFollower(log, "jobs", lambda offset, data: seen.append(data))
         following = asyncio.create_task(follower.run())
         await follower.sync()
@@ -129,6 +129,6 @@
         following.cancel()
         return answers
 
-    assert asyncio.run(play()) == [True] * 50
+    assert asyncio.run(scenario()) == [True] * 50
     assert seen == [b"news"]
     assert log.reads["jobs"] <= 3
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Usage by window: what is counted, what is decided, and which time of day counts.
+Usage by window: counts, decisions and the clock that assigns requests to windows.
 """
 
 from __future__ import annotations
@@ -20,52 +20,52 @@
 )
 
 
-#: 5 s each; a report is due 10 s after its window's end.
+#: Windows of 5 s; a report is due 10 s after its window's end.
 _WINDOWS = UsageWindows(5.0, 10.0)
 
 
-def test_a_window_may_be_decided_on_once_all_of_it_is_counted():
+def test_a_window_may_be_decided_once_it_is_closed():
     """
-    Window 20 ends at 105 s; whatever began in it is counted 2 s later.
+    Window 20 ends at 105 s and is closed to new counts 2 s later.
     """
     assert _WINDOWS.to_decide(106.9, 20) == []
     assert _WINDOWS.to_decide(107.0, 20) == [20]
     assert _WINDOWS.last_counted(107.0) == 20
 
 
-def test_those_who_have_not_spoken_are_waited_for_but_not_for_long():
+def test_missing_counts_are_awaited_for_a_limited_time():
     """
-    Until 6 s of the 10 s have passed that a report may take.
+    Missing counts are awaited for 6 s of the 10 s until the report is due.
     """
     assert _WINDOWS.last_waited_for(110.9) == 19
     assert _WINDOWS.last_waited_for(111.0) == 20
 
 
-def test_a_window_is_whole_when_all_have_counted_it_that_counted_before():
+def test_a_window_is_complete_when_all_earlier_sources_closed_it():
     """
-    One that comes later is not waited for; one that falls silent for three windows.
+    A new source is not awaited; one that stops reporting is awaited for three windows.
     """
-    book = UsageBook()
-    assert not book.is_whole(7)
+    fold = UsageBook()
+    assert not fold.is_whole(7)
     for source in ("vm-1", "vm-2"):
-        book.apply(UsageCounted(source, 7, {}, whole=True))
-    book.apply(UsageCounted("vm-1", 8, {"red": 1}, whole=True))
-    book.apply(UsageCounted("vm-2", 8, {"red": 1}))
-    book.apply(UsageCounted("vm-3", 8, {}, whole=True))
-    assert not book.is_whole(8)
-    book.apply(UsageCounted("vm-2", 8, {}, whole=True))
-    assert book.is_whole(8)
-    assert not book.is_whole(9)
+        fold.apply(UsageCounted(source, 7, {}, whole=True))
+    fold.apply(UsageCounted("vm-1", 8, {"red": 1}, whole=True))
+    fold.apply(UsageCounted("vm-2", 8, {"red": 1}))
+    fold.apply(UsageCounted("vm-3", 8, {}, whole=True))
+    assert not fold.is_whole(8)
+    fold.apply(UsageCounted("vm-2", 8, {}, whole=True))
+    assert fold.is_whole(8)
+    assert not fold.is_whole(9)
     for window in (9, 10, 11, 12):
         for source in ("vm-1", "vm-3"):
-            book.apply(UsageCounted(source, window, {}, whole=True))
-    assert [book.is_whole(window) for window in (9, 10, 11, 12)] == [False] * 3 + [True]
+            fold.apply(UsageCounted(source, window, {}, whole=True))
+    assert [fold.is_whole(window) for window in (9, 10, 11, 12)] == [False] * 3 + [True]
 
 
-def test_a_meter_says_of_each_window_once_that_it_is_whole():
+def test_a_meter_reports_each_closed_window_once():
     """
-    Also of those without a request, from the one on that the process began in; what may
-    not have reached the log is said again.
+    Also for windows without requests, from the process's first window on; records that
+    may not have reached the log are returned again.
     """
     meter = UsageMeter("vm-1", 7)
     meter.count("red", 8)
@@ -82,74 +82,74 @@
     assert meter.take() == lost
 
 
-def test_a_node_that_knows_of_no_decision_begins_with_what_is_not_yet_due():
+def test_without_decisions_the_first_window_is_one_not_yet_due():
     """
-    At the first start of all, or after the log has dropped what was decided.
+    At the very first start, or after the log has dropped all decisions.
     """
     assert _WINDOWS.to_decide(111.0, None) == [20]
     assert _WINDOWS.to_decide(114.9, None) == [20, 21]
     assert _WINDOWS.first_not_due(114.9) == 20
 
 
-def test_a_new_holder_repeats_late_reports_too_but_not_for_ever():
+def test_a_new_holder_resends_late_reports_for_a_limited_time():
     """
-    Their data is still worth having; what is older than 20 s is left.
+    Reports are sent again until 20 s after their window's end.
     """
     assert _WINDOWS.to_repeat(110.0, None) == []
     assert _WINDOWS.to_repeat(114.9, 19) == [18, 19]
     assert _WINDOWS.to_repeat(300.0, 19) == []
 
 
-def test_windows_that_nobody_decided_are_made_up_for_but_not_without_end():
+def test_late_windows_are_decided_up_to_a_limit():
     """
-    After an outage of the store they are late, and told all the same.
+    After an outage of the store, late windows are still decided, up to a limit.
     """
     assert _WINDOWS.to_decide(157.0, 26) == [26, 27, 28, 29, 30]
     assert len(_WINDOWS.to_decide(100_000.0, 26)) == 24
 
 
-def test_what_is_counted_again_changes_nothing():
+def test_repeated_counts_change_nothing():
     """
-    An append whose answer was lost is made again, and records may come in any order.
+    Records may be repeated and may come in any order.
     """
-    book = UsageBook()
+    fold = UsageBook()
     first = UsageCounted("vm-1", 7, {"red": 1})
     second = UsageCounted("vm-1", 7, {"red": 3, "blue": 1})
     other = UsageCounted("vm-2", 7, {"red": 2})
     for record in (second, first, other, second, other):
-        book.apply(record)
-    assert book.counted(7) == {"red": 5, "blue": 1}
-    assert book.counted(8) == {}
+        fold.apply(record)
+    assert fold.counted(7) == {"red": 5, "blue": 1}
+    assert fold.counted(8) == {}
 
 
 def test_the_first_decision_on_a_window_stands():
     """
-    Whatever is counted or decided later.
+    Later counts and decisions do not change it.
     """
-    book = UsageBook()
-    book.apply(UsageDecided(7, {"red": 1}))
-    book.apply(UsageDecided(7, {"red": 2}))
-    book.apply(UsageCounted("vm-1", 7, {"red": 9}))
-    assert book.decided(7) == {"red": 1}
-    assert (book.decided(8), book.last_decided) == (None, 7)
+    fold = UsageBook()
+    fold.apply(UsageDecided(7, {"red": 1}))
+    fold.apply(UsageDecided(7, {"red": 2}))
+    fold.apply(UsageCounted("vm-1", 7, {"red": 9}))
+    assert fold.decided(7) == {"red": 1}
+    assert (fold.decided(8), fold.last_decided) == (None, 7)
 
 
 def test_the_first_window_to_decide_on_follows_from_the_log():
     """
-    The one after the last decision; before any, the first one that has counts.
+    It is the one after the last decision; without decisions, the first with counts.
     """
-    book = UsageBook()
-    assert book.first_undecided is None
-    book.apply(UsageCounted("vm-1", 7, {"red": 1}))
-    book.apply(UsageCounted("vm-1", 5, {"red": 1}))
-    assert book.first_undecided == 5
-    book.apply(UsageDecided(6, {}))
-    assert book.first_undecided == 7
+    fold = UsageBook()
+    assert fold.first_undecided is None
+    fold.apply(UsageCounted("vm-1", 7, {"red": 1}))
+    fold.apply(UsageCounted("vm-1", 5, {"red": 1}))
+    assert fold.first_undecided == 5
+    fold.apply(UsageDecided(6, {}))
+    assert fold.first_undecided == 7
 
 
-def test_a_meter_gives_what_has_changed_as_whole_counts():
+def test_a_meter_returns_changed_counts_as_totals():
     """
-    What may not have reached the log is given again, with what came since.
+    Counts that may not have reached the log are returned again with later ones.
     """
     meter = UsageMeter("vm-1", 7)
     meter.count("red", 7)
@@ -166,37 +166,37 @@
     ]
 
 
-def test_a_meter_and_a_book_keep_no_more_than_they_need():
+def test_a_meter_and_a_fold_keep_a_limited_number_of_windows():
     """
-    Also if the store is away for long.
+    Memory is bounded also during a long outage of the store.
     """
-    meter, book = UsageMeter("vm-1", 7), UsageBook()
+    meter, fold = UsageMeter("vm-1", 7), UsageBook()
     for window in range(1000):
         meter.count("red", window)
-        book.apply(UsageDecided(window, {}))
-        book.apply(UsageCounted("vm-1", window, {"red": 1}))
+        fold.apply(UsageDecided(window, {}))
+        fold.apply(UsageCounted("vm-1", window, {"red": 1}))
     records = meter.take()
     meter.close(2000)
     assert len(meter.take()) == 24
     assert len(records) == 24
     assert records[-1].window == 999
-    assert (book.decided(900), book.decided(999)) == (None, {})
-    assert book.counted(900) == {}
+    assert (fold.decided(900), fold.decided(999)) == (None, {})
+    assert fold.counted(900) == {}
 
 
 @pytest.mark.parametrize(
     "record", [UsageCounted("vm", 3, {"a": 1}), UsageDecided(3, {"a": 1})]
 )
-def test_records_come_back_as_they_were_written(record):
+def test_usage_records_survive_encoding(record):
     """
-    Through the form that the log holds.
+    Encoding and decoding preserves them.
     """
     assert decode_record(encode_record(record).encode()) == record
 
 
 def test_a_jump_of_the_clock_that_is_taken_back_moves_nothing():
     """
-    Requests are counted by true time, and a VM's clock may be wrong for a while.
+    Requests must be counted in the right window while a VM's clock is wrong.
     """
     clock = TrueTime(1000.0, 0.0)
     for now in range(1, 10):
@@ -206,9 +206,9 @@
     assert clock.at(12.0) == 1012.0
 
 
-def test_a_jump_that_lasts_is_believed_and_a_correction_at_once():
+def test_a_lasting_jump_is_accepted_and_a_correction_at_once():
     """
-    A VM may have started with a wrong time of day.
+    A VM may have started with a wrong wall clock.
     """
     clock = TrueTime(1000.0, 0.0)
     clock.observe(1010.1, 10.0)
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -1,12 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Three nodes that hold the duty of usage in turn, over a log that delays and loses.
+Random runs of three nodes that hold the usage lease in turn, over an unreliable log.
 
-A node does what the reporter does, a step at a time, so that anything may come
-between: claim, read, decide, send. A paused node goes on later with what it knew. Steps
-are drawn evenly from fixed seeds; two broken twins show that the runs meet what they
-are for.
+Each node claims, reads, decides and sends in single steps, which interleave at random
+from fixed seeds. Two faulty variants show that the runs reach the states in question.
 """
 
 from __future__ import annotations
@@ -33,14 +31,14 @@
 _NODES = 3
 _TERM = 3.0
 _LEASE = "usage"
-#: The window that is played.
+#: The window that is reported.
 _WINDOW = 0
 _RUNS, _STEPS = 400, 80
 
 
 class _LastDecisionBook(UsageBook):
     """
-    A book that is wrong: the last decision on a window counts.
+    A faulty variant in which the last decision on a window counts.
     """
 
     def apply(self, record: object) -> None:
@@ -52,10 +50,10 @@
 @dataclass
 class _Node:
     """
-    What one process knows.
+    State of one process.
 
-    :ivar read_to: Records of the log that it has folded, a count.
-    :ivar claim_at: When its last claim was appended.
+    :ivar read_to: Number of log records that it has folded.
+    :ivar claim_at: When its last claim was appended, in seconds.
     """
 
     name: str
@@ -72,13 +70,14 @@
         self.meter = UsageMeter(self.name, _WINDOW)
 
 
-class _Play:
+class _Run:
     """
-    One run; ``sent`` is what reached the platform: holder, fence, counts.
+    One run; ``sent`` lists the reports that reached the platform, each as holder, fence
+    and counts.
     """
 
     def __init__(self, seed: int, make_book: Callable[[], UsageBook]) -> None:
-        self._draw = random.Random(seed)
+        self._random = random.Random(seed)
         self._now = 0.0
         self._log: list[object] = []
         self._late: list[object] = []
@@ -88,40 +87,40 @@
     @property
     def acting(self) -> list[_Node]:
         """
-        The nodes that may call the platform now.
+        The nodes whose lease permits them to call the platform now.
         """
         return [n for n in self._nodes if n.held and n.held.may_act(self._now)]
 
     def step(self) -> None:
         """
-        Do one thing, drawn from all that may come.
+        Do one step, chosen at random.
         """
         steps = (
             self._time_passes,
             self._count,
             self._late_append,
             lambda: self._read(self._any_node()),
-            lambda: self._claim(paused=self._draw.random() < 0.5),
-            self._pass_on,
+            lambda: self._claim(paused=self._random.random() < 0.5),
+            self._take_over,
             self._renew,
             self._decide,
             self._send,
         )
-        self._draw.choice(steps)()
+        self._random.choice(steps)()
 
     def _any_node(self) -> _Node:
-        return self._draw.choice(self._nodes)
+        return self._random.choice(self._nodes)
 
     def _time_passes(self) -> None:
-        self._now += self._draw.choice((0.1, 1.0))
+        self._now += self._random.choice((0.1, 1.0))
 
     def _count(self) -> None:
         node = self._any_node()
         node.meter.count("red", _WINDOW)
         records = node.meter.take()
-        fate = self._draw.choice(("done", "done", "unanswered", "late"))
-        self._append(records, fate)
-        if fate != "done":
+        outcome = self._random.choice(("done", "done", "unanswered", "late"))
+        self._append(records, outcome)
+        if outcome != "done":
             node.meter.give_back(records)
 
     def _late_append(self) -> None:
@@ -130,7 +129,7 @@
 
     def _claim(self, paused: bool) -> None:
         """
-        Claim the lease, and learn at once or after a pause whether the claim stands.
+        Claim the lease, and read the claim's outcome at once or after a pause.
         """
         node = self._any_node()
         self._read(node)
@@ -154,9 +153,9 @@
         if lease is not None and lease.claim_id == f"{node.name} {node.claims}":
             node.held = HeldLease(_LEASE, lease.fence, node.claim_at + _TERM)
 
-    def _pass_on(self) -> None:
+    def _take_over(self) -> None:
         """
-        Have a node take over from one that has fallen silent.
+        Let the lease expire and have a node claim it.
         """
         for node in self._nodes:
             self._read(node)
@@ -173,7 +172,7 @@
             self._read(node)
             if node.book.decided(_WINDOW) is None:
                 record = UsageDecided(_WINDOW, node.book.counted(_WINDOW))
-                self._append([record], self._draw.choice(("late", "late", "done")))
+                self._append([record], self._random.choice(("late", "late", "done")))
 
     def _send(self) -> None:
         for node in self.acting:
@@ -182,8 +181,8 @@
             if counts is not None:
                 self.sent.append((node.name, node.held.fence, counts))
 
-    def _append(self, records: list, fate: str) -> None:
-        if fate in ("done", "unanswered"):
+    def _append(self, records: list, outcome: str) -> None:
+        if outcome in ("done", "unanswered"):
             self._log += records
         else:
             self._late += records
@@ -198,46 +197,49 @@
         node.watch.observe(node.leases.get(_LEASE), self._now)
 
 
-def _plays(make_book: Callable[[], UsageBook]) -> list[_Play]:
+def _completed_runs(make_book: Callable[[], UsageBook]) -> list[_Run]:
     """
-    Return runs that have ended; none at whose steps two nodes might act.
+    Return completed runs, and check that at most one node may act after each step.
     """
-    plays = [_Play(seed, make_book) for seed in range(_RUNS)]
-    for play in plays:
+    runs = [_Run(seed, make_book) for seed in range(_RUNS)]
+    for run in runs:
         for _ in range(_STEPS):
-            play.step()
-            assert len(play.acting) <= 1
-    return plays
+            run.step()
+            assert len(run.acting) <= 1
+    return runs
 
 
-def _differ(play: _Play) -> bool:
-    return any(counts != play.sent[0][2] for _, _, counts in play.sent)
+def _has_different_reports(run: _Run) -> bool:
+    return any(counts != run.sent[0][2] for _, _, counts in run.sent)
 
 
-def test_whoever_reports_a_window_reports_the_same():
+def test_all_reports_of_a_window_are_equal():
     """
-    Several holders report it in many of the runs, and no fence has two of them.
+    In many runs several holders report the window; no two of them share a fence.
     """
-    plays = _plays(UsageBook)
-    assert not any(_differ(play) for play in plays)
-    holders = [{holder for holder, _, _ in play.sent} for play in plays]
-    assert sum(len(several) > 1 for several in holders) > _RUNS / 10
-    for play in plays:
-        by_fence = {(fence, holder) for holder, fence, _ in play.sent}
+    runs = _completed_runs(UsageBook)
+    assert not any(_has_different_reports(run) for run in runs)
+    holders = [{holder for holder, _, _ in run.sent} for run in runs]
+    assert sum(len(distinct) > 1 for distinct in holders) > _RUNS / 10
+    for run in runs:
+        by_fence = {(fence, holder) for holder, fence, _ in run.sent}
         assert len(by_fence) == len({fence for fence, _ in by_fence})
 
 
-def test_a_book_that_takes_the_last_decision_is_found_out():
+def test_a_fold_that_takes_the_last_decision_is_detected():
     """
-    So the runs meet decisions that come late, behind another one that was sent.
+    So the runs include decisions that reach the log after another one was sent.
     """
-    assert sum(_differ(play) for play in _plays(_LastDecisionBook)) >= 5
+    assert (
+        sum(_has_different_reports(run) for run in _completed_runs(_LastDecisionBook))
+        >= 5
+    )
 
 
-def test_a_taker_that_does_not_wait_for_the_term_is_found_out(monkeypatch):
+def test_a_claimant_that_does_not_wait_for_the_term_is_detected(monkeypatch):
     """
-    So the runs meet holders that another one has replaced.
+    So the runs include holders whose lease another node has claimed.
     """
     monkeypatch.setattr(LeaseWatch, "may_take", lambda *_: True)
     with pytest.raises(AssertionError):
-        _plays(UsageBook)
+        _completed_runs(UsageBook)
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Callers by key: whose request it is, and what a node may decide by the age of its news.
+Admission by key: a request's workspace, and decisions by the age of a node's keys.
 """
 
 from __future__ import annotations
@@ -39,41 +39,41 @@
 @pytest.mark.parametrize(
     ("needs_key", "key", "age", "bounds", "outcome"),
     [
-        # A known key is served however old the news is, unless it has to be sure.
+        # A known key is accepted however old it is, unless revocation is limited.
         (True, "r1", 0.1, _LENIENT, "red"),
         (True, "r2", 99.0, _LENIENT, "red"),
         (True, "b1", 5.0, _STRICT, "blue"),
         (True, "b1", 5.1, _STRICT, ResultCode.KEYS_UNSURE),
-        # An unknown one may have been put in force since.
+        # An unknown key may have been added since.
         (True, "x", 2.0, _LENIENT, ResultCode.UNAUTHENTICATED),
         (True, "x", 2.1, _LENIENT, ResultCode.KEYS_UNSURE),
         (True, "x", 2.1, _STRICT, ResultCode.KEYS_UNSURE),
-        # A missing one does not become known.
+        # A missing key is refused at any age.
         (True, "", 99.0, _LENIENT, ResultCode.UNAUTHENTICATED),
         (True, "", 99.0, _STRICT, ResultCode.UNAUTHENTICATED),
-        # Where none is needed, whoever has one is still told apart.
+        # Where no key is needed, a known key still gives the workspace.
         (False, "", 99.0, _STRICT, ""),
         (False, "x", 0.1, _LENIENT, ""),
         (False, "r1", 0.1, _LENIENT, "red"),
     ],
 )
-def test_what_a_node_decides_of_a_key(needs_key, key, age, bounds, outcome):
+def test_decisions_about_a_key(needs_key, key, age, bounds, outcome):
     """
-    By whether the key is known, and by the age of what the node knows.
+    It depends on whether the key is known and on the age of the node's configuration.
     """
     assert _decide(needs_key, key, age, bounds) == outcome
 
 
-def test_without_workspaces_everybody_is_served():
+def test_without_workspaces_every_request_is_served():
     """
-    Deployments of before have none.
+    Deployments without workspaces need no keys.
     """
     assert admit(None, True, "any", 99.0, _STRICT) == Admitted(None)
 
 
-def test_a_workspace_without_keys_is_nobodys():
+def test_a_workspace_without_keys_matches_no_key():
     """
-    It has lost its last key; its jobs go on under its name.
+    The empty key must not match a workspace whose last key was removed.
     """
     table = WorkspaceTable.from_workspaces([Workspace.from_keys("red", [])])
     assert table.find("") is None
@@ -89,7 +89,7 @@
 )
 def test_a_key_or_a_name_of_two_workspaces_is_refused(workspaces):
     """
-    Nobody could say whose a request is; the message names a workspace and no key.
+    A request's workspace would be ambiguous; the message must not contain the key.
     """
     with pytest.raises(ValueError, match="'red'") as caught:
         WorkspaceTable.from_workspaces(workspaces)
@@ -98,7 +98,7 @@
 
 def test_no_key_can_be_read_out_of_a_table():
     """
-    Neither from its text nor from its fields.
+    Keys must not appear in logs through the table's text form.
     """
     table = WorkspaceTable.from_workspaces([Workspace.from_keys("red", ["a-secret"])])
     assert "a-secret" not in repr(table)
@@ -107,7 +107,7 @@
 
 def test_calls_about_jobs_need_a_key_unless_no_route_of_jobs_does():
     """
-    They name a host only.
+    Such calls have a host but no path of a route.
     """
     plain = make_route("/look/", needs_key=False)
     closed = make_route("/a/", kind=RouteKind.JOB)
@@ -120,7 +120,7 @@
 @pytest.mark.parametrize("workspace", ["red", "", None])
 def test_a_jobs_workspace_is_kept_in_its_record(workspace):
     """
-    None, as in the records of writers that knew of no workspaces.
+    Also none, as in records written before workspaces existed.
     """
     job = make_job()
     opened = make_opened(job.__class__(**{**vars(job), "workspace": workspace}))
@@ -138,9 +138,9 @@
         (None, "blue", True),
     ],
 )
-def test_who_may_ask_for_a_job(owner, caller, seen):
+def test_which_callers_may_read_a_job(owner, caller, seen):
     """
-    Its own workspace; anybody if it has none, or if there are none any more.
+    Its own workspace; every caller if it has none or no workspaces are configured.
     """
     job = make_job()
     opened = make_opened(job.__class__(**{**vars(job), "workspace": owner}))
