--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -35,7 +35,7 @@
         seconds.
     :param limit: Longest wait after that for requests in flight, in seconds.
     :param told_at: When the stop was requested, monotonic, in seconds; none before.
-    :param told_again: Whether an immediate stop was requested.
+    :param told_again: Whether a second signal came, which stops the VM at once.
     :param handed_over: Whether leases and finished samples were handed to a peer.
     :param stopped: Whether the process is ending.
     """
--- a/packages/saddledoor/src/saddledoor/_usage.py
+++ b/packages/saddledoor/src/saddledoor/_usage.py
@@ -20,7 +20,7 @@
 _JUMP_ACCEPTED_AFTER = 30.0
 #: Largest change of the wall clock that counts as a correction, not a jump, in seconds.
 _MAX_CORRECTION = 0.2
-#: Number of windows whose counts a VM keeps; later reports are abandoned.
+#: Number of windows whose counts a VM keeps; older windows are no longer reported.
 _MAX_WINDOWS = 24
 #: Shares of the time between a window's end and the due time of its report: when VMs
 #: close the window to new counts, and until when counts of other VMs are awaited.
@@ -83,7 +83,7 @@
         Return the decided windows whose reports a new lease holder sends again, oldest
         first, since the previous holder may have got no answer.
 
-        Reports are sent again until they are late by the time that they had.
+        A report is sent again until twice the time until it was due has passed.
 
         :param last_decided: Newest decided window; none if there is none.
         """
--- a/packages/saddledoor/src/saddledoor/_workspaces.py
+++ b/packages/saddledoor/src/saddledoor/_workspaces.py
@@ -64,7 +64,7 @@
         Build the table.
 
         :raises ValueError: If two workspaces have a name or a key in common; the
-            message names them.
+            message names the workspaces.
         """
         names: set[str] = set()
         by_digest: dict[bytes, Workspace] = {}
