--- a/packages/saddledoor/src/saddledoor/_availability.py
+++ b/packages/saddledoor/src/saddledoor/_availability.py
@@ -11,7 +11,7 @@
 from ._members import BackendReport
 
 
-__all__ = ["DEAD_REPORT_AGE", "PENALTY", "Need", "may_use"]
+__all__ = ["DEAD_REPORT_AGE", "FAILURE_BACKOFF", "BackendRequirement", "is_eligible"]
 
 #: How long a back end gets no work after it failed this node, in seconds.
 PENALTY = 1.0
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class BackendRequirement:
     """
     What a request requires of a back end.
 
@@ -32,10 +32,10 @@
     min_version: int = -1
 
 
-def may_use(
+def is_eligible(
     state: str,
     report: BackendReport | None,
-    need: Need,
+    requirement: BackendRequirement,
     now: float,
     failed_at: float = float("-inf"),
 ) -> bool:
@@ -47,13 +47,13 @@
     :param now: Monotonic, in seconds.
     :param failed_at: When the back end last failed this node, monotonic, in seconds.
     """
-    if state == "leaving" or now - failed_at < PENALTY:
+    if state == "leaving" or now - failed_at < FAILURE_BACKOFF:
         return False
     if report is not None and report.leaving:
         return False
     if report is not None and not report.alive and now - report.at < DEAD_REPORT_AGE:
         return False
-    if need.min_version < 0:
+    if requirement.min_version < 0:
         return True
     # A version that the engine did not report itself is not assumed.
     known = report.versions.get(need.model, -1) if report else -1
--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -10,10 +10,10 @@
 from enum import StrEnum
 
 
-__all__ = ["Drain", "Stage"]
+__all__ = ["Drain", "DrainStage"]
 
 
-class Stage(StrEnum):
+class DrainStage(StrEnum):
     """
     Stage of a VM's shutdown.
     """
@@ -42,30 +42,34 @@
 
     lame_duck: float
     limit: float
-    told_at: float | None = None
-    told_again: bool = False
+    stop_requested_at: float | None = None
+    stop_requested_twice: bool = False
     handed_over: bool = False
     stopped: bool = False
 
     @property
-    def stage(self) -> Stage:
+    def stage(self) -> DrainStage:
         """
         The stage that is reported to peers and to the balancer.
         """
         if self.stopped:
-            return Stage.STOPPED
-        return Stage.SERVING if self.told_at is None else Stage.DRAINING
-
-    def tell(self, now: float) -> None:
+            return DrainStage.STOPPED
+        return (
+            DrainStage.SERVING
+            if self.stop_requested_at is None
+            else DrainStage.DRAINING
+        )
+
+    def request_stop(self, now: float) -> None:
         """
         Handle a stop signal; the second one stops the VM at once.
 
         :param now: Monotonic, in seconds.
         """
-        if self.told_at is None:
-            self.told_at = now
+        if self.stop_requested_at is None:
+            self.stop_requested_at = now
         else:
-            self.told_again = True
+            self.stop_requested_twice = True
 
     def may_hand_over(self, now: float, in_flight: int) -> bool:
         """
@@ -74,7 +78,7 @@
         :param now: Monotonic, in seconds.
         :param in_flight: Number of requests in flight.
         """
-        if self.told_at is None:
+        if self.stop_requested_at is None:
             return False
         elapsed = now - self.told_at
         if elapsed < self.lame_duck:
@@ -88,9 +92,9 @@
         :param now: Monotonic, in seconds.
         :param in_flight: Number of requests in flight.
         """
-        if self.told_again:
+        if self.stop_requested_twice:
             return True
-        if self.told_at is None or not self.handed_over:
+        if self.stop_requested_at is None or not self.handed_over:
             return False
         return in_flight == 0 or self._is_past_limit(now)
 
--- a/packages/saddledoor/src/saddledoor/_engine_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_engine_attempts.py
@@ -12,7 +12,7 @@
 from ._incarnation import Incarnation
 
 
-__all__ = ["AttemptEnd", "EngineAttempt", "EngineAttempts"]
+__all__ = ["AttemptOutcome", "EngineAttempt", "EngineAttempts"]
 
 #: Delay before the first retry at the same engine, in seconds; doubled with each
 #: further attempt there.
@@ -21,7 +21,7 @@
 _FAILED_RETRY_DELAY = 0.4
 
 
-class AttemptEnd(Enum):
+class AttemptOutcome(Enum):
     """
     Outcome of an attempt; it determines whether the engine may be tried again.
     """
@@ -96,13 +96,13 @@
         self._attempts.append(attempt)
         return attempt
 
-    def may_go_on(self) -> bool:
+    def may_try_another_engine(self) -> bool:
         """
         Return whether the request may be sent to another engine.
         """
         return len(self.engines) < self._most and self._has_attempts_left()
 
-    def may_return_at(self) -> dict[Incarnation, float]:
+    def earliest_retry_times(self) -> dict[Incarnation, float]:
         """
         Return the engines that the request may be sent to again, each with the earliest
         time, monotonic, in seconds.
--- a/packages/saddledoor/src/saddledoor/_engine_ends.py
+++ b/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
@@ -12,10 +12,10 @@
 from enum import Enum
 
 from ._incarnation import Incarnation
-from ._records import EngineEnded, RequestsCleared
+from ._records import EngineCrashed, RequestsCleared
 
 
-__all__ = ["EngineEnds", "Standing", "request_key"]
+__all__ = ["EngineCrashFold", "PoisonStatus", "request_key"]
 
 #: Crashes with a request in flight after which it may be quarantined; fewer may be
 #: coincidence.
@@ -48,7 +48,7 @@
     return digest.hexdigest()
 
 
-class Standing(Enum):
+class PoisonStatus(Enum):
     """
     Whether a request is suspected of crashing engines.
     """
@@ -78,7 +78,7 @@
     requests: set[str] = field(default_factory=set)
 
 
-class EngineEnds:
+class EngineCrashFold:
     """
     Engine crashes reported by all VMs, folded from the log.
 
@@ -115,7 +115,7 @@
         self._evict(now)
         self._classify()
 
-    def standing(self, key: str, now: float) -> Standing:
+    def poison_status(self, key: str, now: float) -> PoisonStatus:
         """
         Return the status of a request.
 
@@ -134,13 +134,13 @@
             else Standing.UNCLEAR
         )
 
-    def speaks_against(self, key: str) -> bool:
+    def is_implicated(self, key: str) -> bool:
         """
         Return whether a request was in flight at any remembered crash.
         """
         return any(key in crash.requests for crash in self._crashes.values())
 
-    def to_tell_again(self, key: str, now: float) -> list[EngineEnded]:
+    def crashes_to_republish(self, key: str, now: float) -> list[EngineCrashed]:
         """
         Return the crashes to publish again so that a quarantine outlives the log's
         retention of the first reports.
--- a/packages/saddledoor/src/saddledoor/_engine_directory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_directory.py
@@ -113,7 +113,7 @@
         self._missing.pop(engine_id, None)
         self._outdated_ignored.discard(engine_id)
 
-    def store_regained(self, now: float) -> None:
+    def record_store_recovery(self, now: float) -> None:
         """
         Record that the store answers again.
 
--- a/packages/saddledoor/src/saddledoor/_engine_memory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_tables.py
@@ -12,7 +12,7 @@
 from ._incarnation import Incarnation
 
 
-__all__ = ["EngineMemory", "EngineTable"]
+__all__ = ["EngineTables", "EngineTable"]
 
 T = TypeVar("T")
 
@@ -62,7 +62,7 @@
     pass
 
 
-class EngineMemory:
+class EngineTables:
     """
     All tables of engine state, so that an incarnation is dropped from all of them at
     once.
--- a/packages/saddledoor/src/saddledoor/_item_placement.py
+++ b/packages/saddledoor/src/saddledoor/_item_placement.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 
-__all__ = ["Seat", "choose_seat", "is_worth_moving"]
+__all__ = ["PlacementCandidate", "choose_placement", "is_worth_moving"]
 
 #: Ratio up to which two gaps count as equal.
 _GAP_TOLERANCE = 1.02
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Seat:
+class PlacementCandidate:
     """
     An engine with a free slot that may run an item.
 
--- a/packages/saddledoor/src/saddledoor/_job_book.py
+++ b/packages/saddledoor/src/saddledoor/_job_fold.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 
 from ._jobs import (
+    ItemCheckpoint,
     ItemFailed,
-    ItemKept,
-    ItemListed,
     ItemResult,
+    ItemResultRecorded,
     JobEnded,
     JobItem,
     JobOpened,
@@ -26,11 +26,11 @@
 )
 
 
-__all__ = ["JobBook", "JobState", "KeptParts"]
+__all__ = ["JobFold", "JobState", "CheckpointedText"]
 
 
 @dataclass(frozen=True)
-class KeptParts:
+class CheckpointedText:
     """
     The beginning of an unfinished text, as stored by the log.
 
@@ -64,12 +64,12 @@
 
     job: JobOpened
     order: int
-    known_since: float
+    first_seen_at: float
     items: dict[str, JobItem] | None = None
     results: list[ItemResult] = field(default_factory=list)
     listed: set[str] = field(default_factory=set)
     failed: set[ItemFailed] = field(default_factory=set)
-    kept: dict[str, KeptParts] = field(default_factory=dict)
+    kept: dict[str, CheckpointedText] = field(default_factory=dict)
     ended: bool = False
 
     @property
@@ -94,7 +94,7 @@
     def _count_failures(self, item_id: str, scoring: bool) -> int:
         return sum(f.item_id == item_id and f.scoring == scoring for f in self.failed)
 
-    def unlisted(self) -> Iterator[JobItem]:
+    def items_without_result(self) -> Iterator[JobItem]:
         """
         Return the items without a result, in the job's order; no items before this node
         has read them.
@@ -103,7 +103,7 @@
         return (item for name, item in items.items() if name not in self.listed)
 
 
-class JobBook:
+class JobFold:
     """
     All jobs, folded from the log's records.
     """
@@ -170,10 +170,10 @@
 
 
 def _apply_change(
-    state: JobState, record: ItemListed | ItemFailed | ItemKept | JobEnded
+    state: JobState, record: ItemResultRecorded | ItemFailed | ItemCheckpoint | JobEnded
 ) -> None:
     match record:
-        case ItemListed(result=result):
+        case ItemResultRecorded(result=result):
             if result.item_id not in state.listed:
                 state.listed.add(result.item_id)
                 state.results.append(result)
@@ -195,7 +195,7 @@
     not be mixed even if the numbers fit, hence the comparison of chains. A record that
     starts at the first event replaces a shorter checkpoint.
     """
-    before = state.kept.get(record.item_id, KeptParts())
+    before = state.kept.get(record.item_id, CheckpointedText())
     if state.ended or record.item_id in state.listed:
         return
     if record.first == before.count + 1 and record.follows == before.chain:
@@ -207,6 +207,6 @@
             (*before.parts, record.text),
         )
     elif record.first == 1 and record.count > before.count:
-        state.kept[record.item_id] = KeptParts(
+        state.kept[record.item_id] = CheckpointedText(
             record.count, record.versions, record.chain, (record.text,)
         )
--- a/packages/saddledoor/src/saddledoor/_jobs.py
+++ b/packages/saddledoor/src/saddledoor/_jobs.py
@@ -11,8 +11,8 @@
 
 __all__ = [
     "ItemFailed",
-    "ItemKept",
-    "ItemListed",
+    "ItemCheckpoint",
+    "ItemResultRecorded",
     "ItemResult",
     "Job",
     "JobEnded",
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True)
-class ItemListed:
+class ItemResultRecorded:
     """
     Record of an item's result.
     """
@@ -202,7 +202,7 @@
 
 
 @dataclass(frozen=True)
-class ItemKept:
+class ItemCheckpoint:
     """
     Checkpoint of an unfinished item, from which another node may resume.
 
@@ -233,4 +233,4 @@
     job_id: str
 
 
-JobRecord = JobOpened | ItemListed | ItemFailed | ItemKept | JobEnded
+JobRecord = JobOpened | ItemResultRecorded | ItemFailed | ItemCheckpoint | JobEnded
--- a/packages/saddledoor/src/saddledoor/_queueing.py
+++ b/packages/saddledoor/src/saddledoor/_queueing.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Pushed(Generic[_T]):
+class PushResult(Generic[_T]):
     """
     Result of queueing a request.
 
@@ -90,7 +90,7 @@
 
     def push(
         self, work: WorkClass, partner: str, cost: float, weight: float, item: _T
-    ) -> Pushed[_T]:
+    ) -> PushResult[_T]:
         """
         Queue a request.
 
--- a/packages/saddledoor/src/saddledoor/_route_table.py
+++ b/packages/saddledoor/src/saddledoor/_route_table.py
@@ -79,7 +79,7 @@
     rank: int = 0
     resumable: bool = False
     single_version: bool = False
-    give_up_after: float | None = None
+    max_item_age: float | None = None
     needs_key: bool = True
 
     def service(self, draw: float) -> str:
--- a/packages/saddledoor/src/saddledoor/_routing.py
+++ b/packages/saddledoor/src/saddledoor/_routing.py
@@ -13,10 +13,10 @@
 
 __all__ = [
     "Candidate",
-    "Choose",
+    "RoutingPolicy",
     "least_outstanding",
     "least_reported",
-    "own_order",
+    "least_outstanding_rendezvous",
     "rendezvous",
     "rendezvous_order",
     "round_robin",
@@ -43,10 +43,10 @@
     age: float = float("inf")
 
 
-Choose = Callable[[Sequence[Candidate]], Candidate]
+RoutingPolicy = Callable[[Sequence[Candidate]], Candidate]
 
 
-def uniform(random: Callable[[], float]) -> Choose:
+def uniform(random: Callable[[], float]) -> RoutingPolicy:
     """
     Return a policy that chooses a candidate at random; a baseline.
 
@@ -59,7 +59,7 @@
     return choose
 
 
-def round_robin() -> Choose:
+def round_robin() -> RoutingPolicy:
     """
     Return a policy that chooses candidates in turn; a baseline.
     """
@@ -73,7 +73,7 @@
     return choose
 
 
-def least_reported() -> Choose:
+def least_reported() -> RoutingPolicy:
     """
     Return a policy that uses reported load only; a baseline that herds on old reports.
     """
@@ -84,7 +84,7 @@
     return choose
 
 
-def least_outstanding(random: Callable[[], float]) -> Choose:
+def least_outstanding(random: Callable[[], float]) -> RoutingPolicy:
     """
     Return a policy that chooses the candidate with the fewest requests of this node in
     flight, relative to its slots.
@@ -105,7 +105,7 @@
     return choose
 
 
-def own_order(node: str) -> Choose:
+def least_outstanding_rendezvous(node: str) -> RoutingPolicy:
     """
     Return the policy `least_outstanding` with ties broken by rendezvous order.
 
@@ -124,7 +124,7 @@
     return choose
 
 
-def two_choices(random: Callable[[], float], half_life: float = 1.0) -> Choose:
+def two_choices(random: Callable[[], float], half_life: float = 1.0) -> RoutingPolicy:
     """
     Return a policy that compares two random candidates; a baseline.
 
--- a/packages/saddledoor/src/saddledoor/_text_lengths.py
+++ b/packages/saddledoor/src/saddledoor/_text_lengths.py
@@ -11,7 +11,7 @@
 from statistics import median
 
 
-__all__ = ["TextLengths"]
+__all__ = ["TextLengthEstimator"]
 
 #: Share of the texts with the largest estimates that count as long. It is larger than
 #: the share of long texts, since the estimates are inaccurate.
@@ -25,7 +25,7 @@
 _OVERRUN_SHARE = 0.5
 
 
-class TextLengths:
+class TextLengthEstimator:
     """
     Estimates the lengths of one model's texts from the latest ones.
     """
--- a/packages/saddledoor/src/saddledoor/_usage.py
+++ b/packages/saddledoor/src/saddledoor/_usage.py
@@ -14,7 +14,7 @@
 from ._records import Record, UsageCounted, UsageDecided
 
 
-__all__ = ["TrueTime", "UsageBook", "UsageMeter", "UsageWindows"]
+__all__ = ["StableClock", "UsageFold", "UsageMeter", "UsageWindows"]
 
 #: How long a jump of the wall clock must last before it is accepted, in seconds.
 _JUMP_ACCEPTED_AFTER = 30.0
@@ -47,26 +47,28 @@
         """
         return int(unix_time // self.length)
 
-    def last_counted(self, unix_time: float) -> int:
+    def last_closed(self, unix_time: float) -> int:
         """
         Return the newest window that is closed to new counts.
         """
         return self.of(unix_time - _CLOSE_SHARE * self.due_after) - 1
 
-    def last_waited_for(self, unix_time: float) -> int:
+    def last_wait_expired(self, unix_time: float) -> int:
         """
         Return the newest window that is decided even if counts are missing.
         """
         return self.of(unix_time - _WAIT_SHARE * self.due_after) - 1
 
-    def to_decide(self, unix_time: float, first_undecided: int | None) -> list[int]:
+    def windows_to_decide(
+        self, unix_time: float, first_undecided: int | None
+    ) -> list[int]:
         """
         Return the windows that may be decided now, oldest first.
 
         :param first_undecided: Oldest undecided window in the log; none if the log has
             no usage records.
         """
-        newest = self.last_counted(unix_time)
+        newest = self.last_closed(unix_time)
         first = first_undecided
         if first is None:
             first = self.first_not_due(unix_time)
@@ -78,7 +80,9 @@
         """
         return self.of(unix_time - self.due_after)
 
-    def to_repeat(self, unix_time: float, last_decided: int | None) -> list[int]:
+    def windows_to_resend(
+        self, unix_time: float, last_decided: int | None
+    ) -> list[int]:
         """
         Return the decided windows whose reports a new lease holder sends again, oldest
         first, since the previous holder may have got no answer.
@@ -89,9 +93,9 @@
         """
         if last_decided is None:
             return []
-        return list(range(self.first_to_repeat(unix_time), last_decided + 1))
+        return list(range(self.first_to_resend(unix_time), last_decided + 1))
 
-    def first_to_repeat(self, unix_time: float) -> int:
+    def first_to_resend(self, unix_time: float) -> int:
         """
         Return the oldest window whose report is still sent again.
         """
@@ -99,7 +103,7 @@
 
 
 @dataclass
-class UsageBook:
+class UsageFold:
     """
     Counts and decisions folded from the log.
     """
@@ -150,7 +154,7 @@
             total[workspace] = total.get(workspace, 0) + count
         return total
 
-    def is_whole(self, window: int) -> bool:
+    def is_complete(self, window: int) -> bool:
         """
         Return whether the final counts of a window are known from every source that
         closed one of the preceding windows; false if there are no such sources.
@@ -225,7 +229,7 @@
             for window in sorted(changed.keys() | closed)
         ]
 
-    def give_back(self, records: list[UsageCounted]) -> None:
+    def requeue(self, records: list[UsageCounted]) -> None:
         """
         Include records in the next `take` that may not have reached the log.
         """
@@ -237,7 +241,7 @@
                 names.update(record.counts)
 
 
-class TrueTime:
+class StableClock:
     """
     Wall-clock time derived from a monotonic clock, which ignores short jumps of the
     VM's wall clock.
--- a/packages/saddledoor/src/saddledoor/_workspaces.py
+++ b/packages/saddledoor/src/saddledoor/_workspaces.py
@@ -13,7 +13,7 @@
 from ._codes import NotRun, ResultCode
 
 
-__all__ = ["Admitted", "KeyBounds", "Workspace", "WorkspaceTable", "admit"]
+__all__ = ["Admitted", "KeyFreshnessBounds", "Workspace", "WorkspaceTable", "admit"]
 
 #: ``Retry-After`` for a caller whose key this VM cannot judge, in seconds.
 _RETRY_AFTER = 0.1
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True)
-class KeyBounds:
+class KeyFreshnessBounds:
     """
     Freshness limits of a VM's knowledge of keys.
 
@@ -98,8 +98,8 @@
         none if VMs without access to the store may go on accepting it.
     """
 
-    known_within: float
-    gone_within: float | None = None
+    propagation_limit: float
+    revocation_limit: float | None = None
 
 
 @dataclass(frozen=True)
@@ -119,7 +119,7 @@
     needs_key: bool,
     key: str,
     age: float,
-    bounds: KeyBounds,
+    bounds: KeyFreshnessBounds,
 ) -> Admitted | NotRun:
     """
     Decide whether a request may be served, by its key.
--- a/tests/test_engine_ends.py
+++ b/tests/test_engine_crash_fold.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from saddledoor import (
-    EngineEnded,
-    EngineEnds,
+    EngineCrashed,
+    EngineCrashFold,
+    PoisonStatus,
     RequestsCleared,
-    Standing,
     decode_record,
     encode_record,
     request_key,
@@ -120,7 +120,7 @@
     later = EngineEnds()
     for record in again:
         later.apply(record, 0.0)
-    assert later.standing("a", 0.0) is Standing.BARRED
+    assert later.poison_status("a", 0.0) is PoisonStatus.QUARANTINED
 
 
 def test_what_is_remembered_is_bounded_in_count():
@@ -142,8 +142,8 @@
     With and without the start time of the engine.
     """
     for record in (
-        EngineEnded("e", 12, ("a", "b")),
-        EngineEnded("e", None, ()),
+        EngineCrashed("e", 12, ("a", "b")),
+        EngineCrashed("e", None, ()),
         RequestsCleared(("a",)),
     ):
         assert decode_record(encode_record(record)) == record
--- a/tests/test_page_size.py
+++ b/tests/test_page_size.py
@@ -13,7 +13,7 @@
 
 from saddledoor import PageSize
 from saddledoord.cluster.follow import LogFollower
-from saddledoord.ports import StoreAwayError
+from saddledoord.ports import StoreUnavailableError
 
 
 #: Bandwidth that all readers share, in bytes per second.
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -9,10 +9,10 @@
 import pytest
 
 from saddledoor import (
-    TrueTime,
-    UsageBook,
+    StableClock,
     UsageCounted,
     UsageDecided,
+    UsageFold,
     UsageMeter,
     UsageWindows,
     decode_record,
@@ -28,17 +28,17 @@
     """
     Window 20 ends at 105 s and is closed to new counts 2 s later.
     """
-    assert _WINDOWS.to_decide(106.9, 20) == []
-    assert _WINDOWS.to_decide(107.0, 20) == [20]
-    assert _WINDOWS.last_counted(107.0) == 20
+    assert _WINDOWS.windows_to_decide(106.9, 20) == []
+    assert _WINDOWS.windows_to_decide(107.0, 20) == [20]
+    assert _WINDOWS.last_closed(107.0) == 20
 
 
 def test_missing_counts_are_awaited_for_a_limited_time():
     """
     Missing counts are awaited for 6 s of the 10 s until the report is due.
     """
-    assert _WINDOWS.last_waited_for(110.9) == 19
-    assert _WINDOWS.last_waited_for(111.0) == 20
+    assert _WINDOWS.last_wait_expired(110.9) == 19
+    assert _WINDOWS.last_wait_expired(111.0) == 20
 
 
 def test_a_window_is_complete_when_all_earlier_sources_closed_it():
@@ -78,7 +78,7 @@
     ]
     meter.close(8)
     assert meter.take() == []
-    meter.give_back(lost)
+    meter.requeue(lost)
     assert meter.take() == lost
 
 
@@ -95,17 +95,17 @@
     """
     Reports are sent again until 20 s after their window's end.
     """
-    assert _WINDOWS.to_repeat(110.0, None) == []
-    assert _WINDOWS.to_repeat(114.9, 19) == [18, 19]
-    assert _WINDOWS.to_repeat(300.0, 19) == []
+    assert _WINDOWS.windows_to_resend(110.0, None) == []
+    assert _WINDOWS.windows_to_resend(114.9, 19) == [18, 19]
+    assert _WINDOWS.windows_to_resend(300.0, 19) == []
 
 
 def test_late_windows_are_decided_up_to_a_limit():
     """
     After an outage of the store, late windows are still decided, up to a limit.
     """
-    assert _WINDOWS.to_decide(157.0, 26) == [26, 27, 28, 29, 30]
-    assert len(_WINDOWS.to_decide(100_000.0, 26)) == 24
+    assert _WINDOWS.windows_to_decide(157.0, 26) == [26, 27, 28, 29, 30]
+    assert len(_WINDOWS.windows_to_decide(100_000.0, 26)) == 24
 
 
 def test_repeated_counts_change_nothing():
@@ -159,7 +159,7 @@
     assert meter.take() == []
     meter.count("red", 7)
     meter.count("red", 8)
-    meter.give_back(lost)
+    meter.requeue(lost)
     assert meter.take() == [
         UsageCounted("vm-1", 7, {"blue": 1, "red": 2}),
         UsageCounted("vm-1", 8, {"red": 1}),
@@ -198,7 +198,7 @@
     """
     Requests must be counted in the right window while a VM's clock is wrong.
     """
-    clock = TrueTime(1000.0, 0.0)
+    clock = StableClock(1000.0, 0.0)
     for now in range(1, 10):
         clock.observe(1000.0 + now + 2.0, float(now))
     assert clock.at(10.0) == 1010.0
@@ -210,7 +210,7 @@
     """
     A VM may have started with a wrong wall clock.
     """
-    clock = TrueTime(1000.0, 0.0)
+    clock = StableClock(1000.0, 0.0)
     clock.observe(1010.1, 10.0)
     assert clock.at(10.0) == pytest.approx(1010.1)
     for now in range(11, 50):
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -21,9 +21,9 @@
     LeaseFold,
     LeaseRenewal,
     LeaseWatch,
-    UsageBook,
     UsageCounted,
     UsageDecided,
+    UsageFold,
     UsageMeter,
 )
 
@@ -36,7 +36,7 @@
 _RUNS, _STEPS = 400, 80
 
 
-class _LastDecisionBook(UsageBook):
+class _LastDecisionBook(UsageFold):
     """
     A faulty variant in which the last decision on a window counts.
     """
@@ -57,7 +57,7 @@
     """
 
     name: str
-    book: UsageBook
+    book: UsageFold
     meter: UsageMeter = field(init=False)
     leases: LeaseFold = field(default_factory=LeaseFold)
     watch: LeaseWatch = field(default_factory=lambda: LeaseWatch(_TERM))
@@ -137,12 +137,12 @@
         if lease is not None and lease.holder == node.name:
             self._take(node)
             return
-        if not node.watch.may_take(lease, self._now):
+        if not node.watch.may_claim(lease, self._now):
             return
         node.claims += 1
         node.claim_at = self._now
         name = f"{node.name} {node.claims}"
-        seen = lease.last if lease else -1
+        seen = lease.last_offset if lease else -1
         self._log.append(LeaseClaim(name, _LEASE, node.name, seen))
         if not paused:
             self._take(node)
@@ -240,6 +240,6 @@
     """
     So the runs include holders whose lease another node has claimed.
     """
-    monkeypatch.setattr(LeaseWatch, "may_take", lambda *_: True)
+    monkeypatch.setattr(LeaseWatch, "may_claim", lambda *_: True)
     with pytest.raises(AssertionError):
         _completed_runs(UsageBook)
