--- a/packages/saddledoor/src/saddledoor/_availability.py
+++ b/packages/saddledoor/src/saddledoor/_availability.py
@@ -14,7 +14,7 @@
 __all__ = ["DEAD_REPORT_AGE", "FAILURE_BACKOFF", "BackendRequirement", "is_eligible"]
 
 #: How long a back end gets no work after it failed this node, in seconds.
-PENALTY = 1.0
+FAILURE_BACKOFF = 1.0
 #: How long a report that a back end is dead holds, in seconds.
 DEAD_REPORT_AGE = 5.0
 
@@ -56,5 +56,5 @@
     if requirement.min_version < 0:
         return True
     # A version that the engine did not report itself is not assumed.
-    known = report.versions.get(need.model, -1) if report else -1
-    return known >= need.min_version
+    known = report.versions.get(requirement.model, -1) if report else -1
+    return known >= requirement.min_version
--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -34,8 +34,10 @@
     :param lame_duck: How long the VM keeps serving after the request to stop, in
         seconds.
     :param limit: Longest wait after that for requests in flight, in seconds.
-    :param told_at: When the stop was requested, monotonic, in seconds; none before.
-    :param told_again: Whether a second signal came, which stops the VM at once.
+    :param stop_requested_at: Time of the first stop signal, monotonic, in seconds; none
+        before.
+    :param stop_requested_twice: Whether a second signal came, which stops the VM at
+        once.
     :param handed_over: Whether leases and finished samples were handed to a peer.
     :param stopped: Whether the process is ending.
     """
@@ -80,7 +82,7 @@
         """
         if self.stop_requested_at is None:
             return False
-        elapsed = now - self.told_at
+        elapsed = now - self.stop_requested_at
         if elapsed < self.lame_duck:
             return False
         return in_flight == 0 or self._is_past_limit(now)
@@ -99,4 +101,4 @@
         return in_flight == 0 or self._is_past_limit(now)
 
     def _is_past_limit(self, now: float) -> bool:
-        return now - self.told_at >= self.lame_duck + self.limit
+        return now - self.stop_requested_at >= self.lame_duck + self.limit
--- a/packages/saddledoor/src/saddledoor/_engine_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_engine_attempts.py
@@ -38,9 +38,13 @@
 
 
 #: Outcomes after which the engine is known to run and no longer works on the request.
-_RETRYABLE = frozenset({AttemptEnd.NOT_RUN, AttemptEnd.UNUSABLE, AttemptEnd.FAILED})
+_RETRYABLE = frozenset(
+    {AttemptOutcome.NOT_RUN, AttemptOutcome.UNUSABLE, AttemptOutcome.FAILED}
+)
 #: Outcomes that count against the attempt limit: the engine may have run the request.
-_COUNTED = frozenset({AttemptEnd.RUNNING, AttemptEnd.FAILED, AttemptEnd.BROKEN})
+_COUNTED = frozenset(
+    {AttemptOutcome.RUNNING, AttemptOutcome.FAILED, AttemptOutcome.BROKEN}
+)
 
 
 @dataclass(eq=False)
@@ -52,10 +56,10 @@
     """
 
     engine: Incarnation
-    outcome: AttemptEnd = AttemptEnd.RUNNING
+    outcome: AttemptOutcome = AttemptOutcome.RUNNING
     ended_at: float | None = None
 
-    def finish(self, outcome: AttemptEnd, now: float) -> None:
+    def finish(self, outcome: AttemptOutcome, now: float) -> None:
         self.outcome = outcome
         self.ended_at = now
 
@@ -127,6 +131,8 @@
         attempts = [a for a in self._attempts if a.engine == engine]
         latest = attempts[-1]
         delay = (
-            _FAILED_RETRY_DELAY if latest.outcome is AttemptEnd.FAILED else _RETRY_DELAY
+            _FAILED_RETRY_DELAY
+            if latest.outcome is AttemptOutcome.FAILED
+            else _RETRY_DELAY
         )
         return (latest.ended_at or 0.0) + delay * 2 ** (len(attempts) - 1)
--- a/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
+++ b/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
@@ -54,15 +54,15 @@
     """
 
     #: No unattributed crash happened while the request was in flight.
-    FREE = "free"
+    CLEAN = "free"
     #: The request was in flight at too few crashes for a quarantine. It still runs,
     #: preferably not on an engine that runs another suspect.
     SUSPECT = "suspect"
     #: The request was in flight at enough crashes, but never as the only suspect. It
     #: runs only on an engine that runs no other suspect.
-    UNCLEAR = "unclear"
+    AMBIGUOUS = "unclear"
     #: A poison request; it is sent to no engine.
-    BARRED = "barred"
+    QUARANTINED = "barred"
 
 
 @dataclass
@@ -105,7 +105,7 @@
         :param now: Monotonic, in seconds.
         """
         match record:
-            case EngineEnded():
+            case EngineCrashed():
                 self._record_crash(record, now)
             case RequestsCleared():
                 for crash in self._crashes.values():
@@ -124,14 +124,14 @@
         if self._evict(now):
             self._classify()
         if key in self._quarantined:
-            return Standing.BARRED
+            return PoisonStatus.QUARANTINED
         crash_count = self._crash_counts[key]
         if not crash_count:
-            return Standing.FREE
+            return PoisonStatus.CLEAN
         return (
-            Standing.SUSPECT
+            PoisonStatus.SUSPECT
             if crash_count < _QUARANTINE_THRESHOLD
-            else Standing.UNCLEAR
+            else PoisonStatus.AMBIGUOUS
         )
 
     def is_implicated(self, key: str) -> bool:
@@ -161,11 +161,11 @@
             crash.reported_at = now
             self._crashes.move_to_end(incarnation)
         return [
-            EngineEnded(i.engine_id, i.started_at, tuple(sorted(crash.requests)))
+            EngineCrashed(i.engine_id, i.started_at, tuple(sorted(crash.requests)))
             for i, crash in old
         ]
 
-    def _record_crash(self, record: EngineEnded, now: float) -> None:
+    def _record_crash(self, record: EngineCrashed, now: float) -> None:
         incarnation = Incarnation(record.engine, record.started_at)
         crash = self._crashes.setdefault(incarnation, _Crash(now))
         crash.reported_at = now
--- a/packages/saddledoor/src/saddledoor/_item_placement.py
+++ b/packages/saddledoor/src/saddledoor/_item_placement.py
@@ -51,9 +51,9 @@
     gap: float | None = None
 
 
-def choose_seat(
-    candidates: Sequence[Seat], best_gap: float | None, is_long: bool
-) -> Seat | None:
+def choose_placement(
+    candidates: Sequence[PlacementCandidate], best_gap: float | None, is_long: bool
+) -> PlacementCandidate | None:
     """
     Return the engine for an item, or none if there are no candidates.
 
@@ -67,15 +67,15 @@
     if not candidates:
         return None
 
-    def slowness(candidate: Seat) -> float:
+    def slowness(candidate: PlacementCandidate) -> float:
         # An engine of unknown speed is tried, so that its speed becomes known.
         return candidate.gap / best_gap if candidate.gap and best_gap else 1.0
 
-    def long_key(candidate: Seat) -> tuple[float, ...]:
+    def long_key(candidate: PlacementCandidate) -> tuple[float, ...]:
         slowness_step = round(math.log(max(slowness(candidate), 1.0), _GAP_TOLERANCE))
         return slowness_step, candidate.long_running, candidate.running
 
-    def short_key(candidate: Seat) -> tuple[float, ...]:
+    def short_key(candidate: PlacementCandidate) -> tuple[float, ...]:
         return (
             slowness(candidate) > _SLOW_RATIO,
             candidate.long_running,
--- a/packages/saddledoor/src/saddledoor/_job_fold.py
+++ b/packages/saddledoor/src/saddledoor/_job_fold.py
@@ -52,8 +52,8 @@
     A job and its state in the log.
 
     :param order: Position of the job among all jobs, from 1.
-    :param known_since: When this process first read of the job, monotonic, in seconds;
-        a lower bound of the job's age.
+    :param first_seen_at: When this process first read of the job, monotonic, in
+        seconds; the job is at least that old.
     :param items: Items by id, in the job's order; none before this node has read them.
     :param results: Results in the order of their positions.
     :param listed: Ids of the items that have a result.
@@ -156,7 +156,7 @@
         """
         for job_id, state in list(self._jobs.items()):
             retention = ended_retention if state.ended else open_retention
-            if now - state.known_since > retention:
+            if now - state.first_seen_at > retention:
                 del self._jobs[job_id]
 
     def _open(self, job: JobOpened, now: float) -> None:
@@ -180,14 +180,14 @@
                 state.kept.pop(result.item_id, None)
         case ItemFailed():
             state.failed.add(record)
-        case ItemKept():
+        case ItemCheckpoint():
             _extend_checkpoint(state, record)
         case JobEnded():
             state.ended = True
             state.kept.clear()
 
 
-def _extend_checkpoint(state: JobState, record: ItemKept) -> None:
+def _extend_checkpoint(state: JobState, record: ItemCheckpoint) -> None:
     """
     Extend an item's checkpoint by events that directly follow it in the same chain.
 
@@ -200,7 +200,7 @@
         return
     if record.first == before.count + 1 and record.follows == before.chain:
         new_versions = [v for v in record.versions if v not in before.versions]
-        state.kept[record.item_id] = KeptParts(
+        state.kept[record.item_id] = CheckpointedText(
             before.count + record.count,
             (*before.versions, *new_versions),
             record.chain,
--- a/packages/saddledoor/src/saddledoor/_queueing.py
+++ b/packages/saddledoor/src/saddledoor/_queueing.py
@@ -12,7 +12,7 @@
 from typing import Generic, TypeVar
 
 
-__all__ = ["FairQueue", "Pushed", "QueueEntry", "WorkClass"]
+__all__ = ["FairQueue", "PushResult", "QueueEntry", "WorkClass"]
 
 _T = TypeVar("_T")
 
@@ -110,11 +110,11 @@
         if len(queue) >= self._capacity:
             last = max(queue)
             if last <= entry:
-                return Pushed(queued=False)
+                return PushResult(queued=False)
             displaced = self._remove(work, last)
         self._last_finish[(work, partner)] = start + cost / weight
         heapq.heappush(queue, entry)
-        return Pushed(True, displaced)
+        return PushResult(True, displaced)
 
     def _remove(self, work: WorkClass, entry: QueueEntry[_T]) -> _T:
         queue = self._queues[work]
--- a/packages/saddledoor/src/saddledoor/_route_table.py
+++ b/packages/saddledoor/src/saddledoor/_route_table.py
@@ -62,7 +62,7 @@
     :param rank: Priority; 0 is the most urgent.
     :param resumable: Whether a broken stream may be resumed at another back end.
     :param single_version: Whether a sample must come from one weight version.
-    :param give_up_after: Age at which an item of a job may be given up, in seconds;
+    :param max_item_age: Age at which an item of a job may be given up, in seconds;
         none if items are never given up.
     :param needs_key: Whether a request needs a workspace's key, if workspaces are
         configured.
--- a/packages/saddledoor/src/saddledoor/_text_lengths.py
+++ b/packages/saddledoor/src/saddledoor/_text_lengths.py
@@ -61,7 +61,7 @@
             # The median, since trainers' estimates are right at the median.
             self._tokens_per_event = median(self._ratios)
 
-    def left(self, expected_tokens: int, events_so_far: int) -> float:
+    def remaining_events(self, expected_tokens: int, events_so_far: int) -> float:
         """
         Return the expected number of further events of a text.
 
--- a/packages/saddledoor/src/saddledoor/_workspaces.py
+++ b/packages/saddledoor/src/saddledoor/_workspaces.py
@@ -92,10 +92,10 @@
     """
     Freshness limits of a VM's knowledge of keys.
 
-    :param known_within: Time after which every VM with access to the store knows a new
-        key, in seconds.
-    :param gone_within: Time after which no VM may accept a revoked key, in seconds;
-        none if VMs without access to the store may go on accepting it.
+    :param propagation_limit: Time after which every VM with access to the store knows a
+        new key, in seconds.
+    :param revocation_limit: Time after which no VM may accept a revoked key, in
+        seconds; none if VMs without access to the store may go on accepting it.
     """
 
     propagation_limit: float
@@ -141,10 +141,10 @@
     if not key:
         return NotRun(ResultCode.UNAUTHENTICATED, "a key is needed", 0.0)
     if workspace is None:
-        if age > bounds.known_within:
+        if age > bounds.propagation_limit:
             return _refuse_stale(f"a key not known here, where news is {age:.1f} s old")
         return NotRun(ResultCode.UNAUTHENTICATED, "the key is not known", 0.0)
-    if bounds.gone_within is not None and age > bounds.gone_within:
+    if bounds.revocation_limit is not None and age > bounds.revocation_limit:
         return _refuse_stale(f"a key last known to be in force {age:.1f} s ago")
     return Admitted(workspace.name)
 
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -67,7 +67,7 @@
         _FOLD,
         "if all(crash_counts[other] == 1 for other in crash.requests - {key})\n",
         "if crash_counts\n",
-        (ENDS, "always_together"),
+        (CRASH_FOLD, "always_together"),
     ),
     Guard(
         "what a barred request explains speaks against nobody",
@@ -76,7 +76,7 @@
         "            self._crash_counts = (\n"
         "                self._crash_counts if self._quarantined else crash_counts\n"
         "            )\n",
-        (ENDS, "free_once_the_cause"),
+        (CRASH_FOLD, "free_once_the_cause"),
     ),
     Guard(
         "an answer clears a request",
@@ -90,14 +90,14 @@
         _FOLD,
         "            if not is_full and now - oldest.reported_at <= _RETENTION:\n",
         "            if not is_full:\n",
-        (ENDS, "bounded_in_time"),
+        (CRASH_FOLD, "bounded_in_time"),
     ),
     Guard(
         "what is known of ends is bounded in count",
         _FOLD,
         "            is_full = len(self._crashes) > _MAX_CRASHES\n",
         "            is_full = False\n",
-        (ENDS, "bounded_in_count"),
+        (CRASH_FOLD, "bounded_in_count"),
     ),
     Guard(
         "only an engine that is gone has ended",
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -170,7 +170,7 @@
     ),
     Guard(
         "an open job is kept",
-        f"{LIBRARY}/_job_book.py",
+        f"{LIBRARY}/_job_fold.py",
         "retention = ended_retention if state.ended else open_retention",
         "retention = ended_retention",
         (DECISIONS, "kept_while_it_is_open"),
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -75,7 +75,7 @@
         "a request does not go again where it broke off",
         f"{LIBRARY}/_engine_attempts.py",
         "a.outcome in _RETRYABLE",
-        "a.outcome is not AttemptEnd.RUNNING",
+        "a.outcome is not AttemptOutcome.RUNNING",
         (ATTEMPTS, "broke_off"),
     ),
     Guard(
--- a/tests/test_engine_lives.py
+++ b/tests/test_engine_lives.py
@@ -83,8 +83,8 @@
         engine_tables = self.view.engine_tables
         self.lives = EngineTimeouts(self.view)
         self.pool = EnginePool(self.view, least_outstanding(lambda: 0.0))
-        self.paces = EnginePaces(memory)
-        self.silent = SilentEngines(_MuteEngines(), memory)
+        self.paces = EnginePaces(engine_tables)
+        self.silent = UnresponsiveEngines(_MuteEngines(), engine_tables)
         self.placement = Placement(self.view, self.pool, self.paces, self.silent)
 
     def put(self, entry: EngineEntry) -> None:
@@ -320,8 +320,8 @@
     """
     node = _Node(_entry(FIRST))
     engines = _HangingEngines(_entry(FIRST).incarnation)
-    attempts = Attempts(
-        engines, node.paces, node.placement, node.lives, make_end_watch(node.view)
+    attempts = AttemptRunner(
+        engines, node.paces, node.placement, node.lives, make_crash_watch(node.view)
     )
     run = node.item()
 
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -146,8 +146,8 @@
     A caller may submit a job to two nodes, each of which stores the items; the first
     record counts.
     """
-    fold = JobBook()
-    first, second = make_opened(make_job(), 1), make_opened(make_job(), 9)
+    fold = JobFold()
+    first, second = make_job_opened(make_job(), 1), make_job_opened(make_job(), 9)
     for record in [first, JobEnded("job-a"), second]:
         fold.apply(record)
     assert fold.get("job-a").job == first
@@ -158,7 +158,9 @@
     """
     Also on nodes that have not read its items; a repeated result counts once.
     """
-    listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
+    listed = [
+        ItemResultRecorded("job-a", ItemResult(f"item-{n}", True)) for n in range(2)
+    ]
     assert len(_fold_with(listed[0], listed[0]).open_jobs()) == 1
     assert _fold_with(*listed).open_jobs() == []
 
@@ -213,9 +215,9 @@
     assert loads == [("a", "n"), ("a", "m"), ("b", "n"), ("b", "m")]
 
 
-def _fold_with(*records) -> JobBook:
-    fold = JobBook()
-    for record in [make_opened(make_job()), *records]:
+def _fold_with(*records) -> JobFold:
+    fold = JobFold()
+    for record in [make_job_opened(make_job()), *records]:
         fold.apply(record)
     return fold
 
@@ -236,7 +238,9 @@
     """
     A job whose items all have results is retained like an open one until it is ended.
     """
-    listed = [ItemListed("job-a", ItemResult(f"item-{n}", True)) for n in range(2)]
+    listed = [
+        ItemResultRecorded("job-a", ItemResult(f"item-{n}", True)) for n in range(2)
+    ]
     fold = _fold_with(*listed)
     fold.forget(now=299.0, ended_retention=120.0, open_retention=300.0)
     assert fold.get("job-a") is not None
@@ -305,7 +309,7 @@
     assert {"e-2", "e-4"} < set(after)
 
 
-def _checkpoint(first: int, count: int, follows: str, chain: str) -> ItemKept:
+def _checkpoint(first: int, count: int, follows: str, chain: str) -> ItemCheckpoint:
     place = StoredText((first, count), 1)
     return ItemCheckpoint("job-a", "item-0", first, count, follows, chain, (1,), place)
 
--- a/tests/test_item_placement.py
+++ b/tests/test_item_placement.py
@@ -110,7 +110,7 @@
         150 if random.random() < 0.1 else random.randint(5, 50) for _ in range(400)
     ]
     estimates = [round(50 * n * random.lognormvariate(0, 0.5)) for n in events]
-    lengths = TextLengths()
+    lengths = TextLengthEstimator()
     lengths.announce(estimates)
     long = [lengths.is_long(estimate, 0) for estimate in estimates]
     detected = sum(is_long for is_long, n in zip(long, events, strict=True) if n == 150)
@@ -137,9 +137,9 @@
     lengths = TextLengthEstimator()
     for _ in range(9):
         lengths.finished(1000, 10)
-    assert lengths.left(3000, 5) == 25
+    assert lengths.remaining_events(3000, 5) == 25
     # The text is longer than its estimate.
-    assert lengths.left(1000, 40) == 20
+    assert lengths.remaining_events(1000, 40) == 20
 
 
 def test_without_estimates_no_text_is_long():
--- a/tests/test_page_size.py
+++ b/tests/test_page_size.py
@@ -94,10 +94,12 @@
         super().__init__(largest_record=100_000)
         self._largest_read = largest_read
 
-    async def read(self, stream, start, wait=0.0, largest=1 << 20, patience=1.0):
-        if largest > self._largest_read:
-            raise StoreAwayError("too slow")
-        return await super().read(stream, start, wait, largest, patience)
+    async def read(
+        self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
+    ):
+        if max_bytes > self._largest_read:
+            raise StoreUnavailableError("too slow")
+        return await super().read(stream, start, wait, max_bytes, answer_timeout)
 
 
 def test_a_follower_asks_for_less_until_it_is_answered():
--- a/tests/test_texts.py
+++ b/tests/test_texts.py
@@ -82,7 +82,7 @@
         return await asyncio.gather(*reads, return_exceptions=True)
 
     outcomes = asyncio.run(scenario())
-    assert all(isinstance(outcome, StoreAwayError) for outcome in outcomes)
+    assert all(isinstance(outcome, StoreUnavailableError) for outcome in outcomes)
     assert log.reads["texts"] == 1
 
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -45,21 +45,23 @@
     """
     A new source is not awaited; one that stops reporting is awaited for three windows.
     """
-    fold = UsageBook()
-    assert not fold.is_whole(7)
+    fold = UsageFold()
+    assert not fold.is_complete(7)
     for source in ("vm-1", "vm-2"):
         fold.apply(UsageCounted(source, 7, {}, whole=True))
     fold.apply(UsageCounted("vm-1", 8, {"red": 1}, whole=True))
     fold.apply(UsageCounted("vm-2", 8, {"red": 1}))
     fold.apply(UsageCounted("vm-3", 8, {}, whole=True))
-    assert not fold.is_whole(8)
+    assert not fold.is_complete(8)
     fold.apply(UsageCounted("vm-2", 8, {}, whole=True))
-    assert fold.is_whole(8)
-    assert not fold.is_whole(9)
+    assert fold.is_complete(8)
+    assert not fold.is_complete(9)
     for window in (9, 10, 11, 12):
         for source in ("vm-1", "vm-3"):
             fold.apply(UsageCounted(source, window, {}, whole=True))
-    assert [fold.is_whole(window) for window in (9, 10, 11, 12)] == [False] * 3 + [True]
+    assert [fold.is_complete(window) for window in (9, 10, 11, 12)] == [False] * 3 + [
+        True
+    ]
 
 
 def test_a_meter_reports_each_closed_window_once():
@@ -86,8 +88,8 @@
     """
     At the very first start, or after the log has dropped all decisions.
     """
-    assert _WINDOWS.to_decide(111.0, None) == [20]
-    assert _WINDOWS.to_decide(114.9, None) == [20, 21]
+    assert _WINDOWS.windows_to_decide(111.0, None) == [20]
+    assert _WINDOWS.windows_to_decide(114.9, None) == [20, 21]
     assert _WINDOWS.first_not_due(114.9) == 20
 
 
@@ -112,7 +114,7 @@
     """
     Records may be repeated and may come in any order.
     """
-    fold = UsageBook()
+    fold = UsageFold()
     first = UsageCounted("vm-1", 7, {"red": 1})
     second = UsageCounted("vm-1", 7, {"red": 3, "blue": 1})
     other = UsageCounted("vm-2", 7, {"red": 2})
@@ -126,7 +128,7 @@
     """
     Later counts and decisions do not change it.
     """
-    fold = UsageBook()
+    fold = UsageFold()
     fold.apply(UsageDecided(7, {"red": 1}))
     fold.apply(UsageDecided(7, {"red": 2}))
     fold.apply(UsageCounted("vm-1", 7, {"red": 9}))
@@ -138,7 +140,7 @@
     """
     It is the one after the last decision; without decisions, the first with counts.
     """
-    fold = UsageBook()
+    fold = UsageFold()
     assert fold.first_undecided is None
     fold.apply(UsageCounted("vm-1", 7, {"red": 1}))
     fold.apply(UsageCounted("vm-1", 5, {"red": 1}))
@@ -170,7 +172,7 @@
     """
     Memory is bounded also during a long outage of the store.
     """
-    meter, fold = UsageMeter("vm-1", 7), UsageBook()
+    meter, fold = UsageMeter("vm-1", 7), UsageFold()
     for window in range(1000):
         meter.count("red", window)
         fold.apply(UsageDecided(window, {}))
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -36,7 +36,7 @@
 _RUNS, _STEPS = 400, 80
 
 
-class _LastDecisionBook(UsageFold):
+class _LastDecisionFold(UsageFold):
     """
     A faulty variant in which the last decision on a window counts.
     """
@@ -57,7 +57,7 @@
     """
 
     name: str
-    book: UsageFold
+    fold: UsageFold
     meter: UsageMeter = field(init=False)
     leases: LeaseFold = field(default_factory=LeaseFold)
     watch: LeaseWatch = field(default_factory=lambda: LeaseWatch(_TERM))
@@ -76,12 +76,12 @@
     and counts.
     """
 
-    def __init__(self, seed: int, make_book: Callable[[], UsageBook]) -> None:
+    def __init__(self, seed: int, make_fold: Callable[[], UsageFold]) -> None:
         self._random = random.Random(seed)
         self._now = 0.0
         self._log: list[object] = []
         self._late: list[object] = []
-        self._nodes = [_Node(f"vm-{n}", make_book()) for n in range(_NODES)]
+        self._nodes = [_Node(f"vm-{n}", make_fold()) for n in range(_NODES)]
         self.sent: list[tuple[str, int, dict[str, int]]] = []
 
     @property
@@ -121,7 +121,7 @@
         outcome = self._random.choice(("done", "done", "unanswered", "late"))
         self._append(records, outcome)
         if outcome != "done":
-            node.meter.give_back(records)
+            node.meter.requeue(records)
 
     def _late_append(self) -> None:
         if self._late:
@@ -170,14 +170,14 @@
     def _decide(self) -> None:
         for node in self.acting:
             self._read(node)
-            if node.book.decided(_WINDOW) is None:
-                record = UsageDecided(_WINDOW, node.book.counted(_WINDOW))
+            if node.fold.decided(_WINDOW) is None:
+                record = UsageDecided(_WINDOW, node.fold.counted(_WINDOW))
                 self._append([record], self._random.choice(("late", "late", "done")))
 
     def _send(self) -> None:
         for node in self.acting:
             self._read(node)
-            counts = node.book.decided(_WINDOW)
+            counts = node.fold.decided(_WINDOW)
             if counts is not None:
                 self.sent.append((node.name, node.held.fence, counts))
 
@@ -192,16 +192,16 @@
             record = self._log[offset]
             node.leases = node.leases.apply(offset, record)
             if isinstance(record, UsageCounted | UsageDecided):
-                node.book.apply(record)
+                node.fold.apply(record)
         node.read_to = len(self._log)
         node.watch.observe(node.leases.get(_LEASE), self._now)
 
 
-def _completed_runs(make_book: Callable[[], UsageBook]) -> list[_Run]:
+def _completed_runs(make_fold: Callable[[], UsageFold]) -> list[_Run]:
     """
     Return completed runs, and check that at most one node may act after each step.
     """
-    runs = [_Run(seed, make_book) for seed in range(_RUNS)]
+    runs = [_Run(seed, make_fold) for seed in range(_RUNS)]
     for run in runs:
         for _ in range(_STEPS):
             run.step()
@@ -217,7 +217,7 @@
     """
     In many runs several holders report the window; no two of them share a fence.
     """
-    runs = _completed_runs(UsageBook)
+    runs = _completed_runs(UsageFold)
     assert not any(_has_different_reports(run) for run in runs)
     holders = [{holder for holder, _, _ in run.sent} for run in runs]
     assert sum(len(distinct) > 1 for distinct in holders) > _RUNS / 10
@@ -231,7 +231,7 @@
     So the runs include decisions that reach the log after another one was sent.
     """
     assert (
-        sum(_has_different_reports(run) for run in _completed_runs(_LastDecisionBook))
+        sum(_has_different_reports(run) for run in _completed_runs(_LastDecisionFold))
         >= 5
     )
 
@@ -242,4 +242,4 @@
     """
     monkeypatch.setattr(LeaseWatch, "may_claim", lambda *_: True)
     with pytest.raises(AssertionError):
-        _completed_runs(UsageBook)
+        _completed_runs(UsageFold)
