--- a/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
+++ b/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
@@ -23,8 +23,8 @@
 #: How long a crash is remembered after its last report, in seconds; shorter than the
 #: log's retention of records.
 _RETENTION = 240.0
-#: Age of a report, in seconds, after which the crash is published again if a request
-#: that it quarantines is still being sent.
+#: Age of a crash report, in seconds, after which it is published again if a quarantined
+#: request that was in flight at the crash is still being sent.
 _REPUBLISH_AFTER = 60.0
 #: Maximum number of crashes that are remembered; the oldest are evicted first.
 _MAX_CRASHES = 256
