--- a/tests/proofs/leaving.py
+++ b/tests/proofs/leaving.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-A leaving engine receives no new work after a few seconds.
+An engine that is leaving receives no new work after a few seconds.
 
-Without the mechanism, a node uses the report received last, not the newest one.
+Off: a node believes the report that reached it last, not the newest one.
 """
 
 from __future__ import annotations
@@ -47,9 +47,9 @@
     )
 
 
-class _LastReceivedTable(MemberTable):
+class _LastHeard(MemberTable):
     """
-    Keeps the entry received last.
+    Keeps whatever came last.
     """
 
     def offer(self, entry, now):
@@ -64,7 +64,7 @@
 def _machine(guard: bool) -> type[RuleBasedStateMachine]:
     class Leaving(RuleBasedStateMachine):
         """
-        VMs poll an engine; their reports arrive late, repeatedly and out of order.
+        Watchers read an engine, and their reports travel late, twice, out of order.
         """
 
         @initialize()
@@ -72,10 +72,10 @@
             self.now = 0.0
             self.leaving_since = None
             self.sent: list[MemberEntry] = []
-            kind = MemberTable if guard else _LastReceivedTable
+            kind = MemberTable if guard else _LastHeard
             self.tables = [kind(1e9) for _ in range(_NODES)]
-            self.knows_leaving = [False] * _NODES
-            self.active_configs = [ActiveConfig() for _ in range(_NODES)]
+            self.heard_leaving = [False] * _NODES
+            self.in_force = [ActiveConfig() for _ in range(_NODES)]
             self.marked_offset = None
             self.seq = 0
 
@@ -87,7 +87,7 @@
         @rule(watcher=st.integers(0, _NODES - 1))
         def watcher_reads(self, watcher):
             """
-            Any VM may poll the engine, as the assignment changes with the set of VMs.
+            The watcher changes when VMs come and go, so several may have read it.
             """
             self.now += 1.0
             self.seq += 1
@@ -95,41 +95,41 @@
             report = BackendReport("engine", True, 0.0, self.now, leaving)
             entry = _entry(watcher, self.seq, report)
             self.sent.append(entry)
-            self._receive(watcher, entry)
+            self._hear(watcher, entry)
 
         @rule(node=st.integers(0, _NODES - 1), index=st.integers(0, 30))
         def entry_arrives(self, node, index):
             """
-            Entries arrive in any order, and repeatedly.
+            Any entry that was ever sent may arrive, again and in any order.
             """
             if self.sent:
-                self._receive(node, self.sent[index % len(self.sent)])
+                self._hear(node, self.sent[index % len(self.sent)])
 
-        def _receive(self, node, entry):
+        def _hear(self, node, entry):
             self.tables[node].offer(entry, self.now)
             if entry.reports[0].leaving:
-                self.knows_leaving[node] = True
+                self.heard_leaving[node] = True
 
-        # Only late in a run, so that most of it depends on the reports alone.
+        # Late, so that the reports have to hold by themselves for most of the run.
         @precondition(lambda self: self.seq > 8)
         @rule(node=st.integers(0, 1))
         def configuration_marks_it(self, node):
             """
-            Offset 2 marks the engine as leaving; peers may also send offset 1.
+            Offset 1 serves, offset 2 marks it as leaving; peers may pass on either.
             """
             self.marked_offset = 2
-            self.active_configs[node] = self.active_configs[node].offer(
+            self.in_force[node] = self.in_force[node].offer(
                 AcceptedConfig(2, "leaving")
             )
 
         @rule(node=st.integers(0, _NODES - 1))
         def old_configuration_arrives(self, node):
-            self.active_configs[node] = self.active_configs[node].offer(
+            self.in_force[node] = self.in_force[node].offer(
                 AcceptedConfig(1, "serving")
             )
 
         def _grants(self, node):
-            accepted = self.active_configs[node].accepted
+            accepted = self.in_force[node].accepted
             state = accepted.document if accepted else "serving"
             report = self.tables[node].reports().get("engine")
             return is_eligible(state, report, BackendRequirement(), self.now)
@@ -137,8 +137,8 @@
         @invariant()
         def no_new_work_once_heard(self):
             for node in range(_NODES):
-                marked = self.active_configs[node].offset == 2
-                if self.knows_leaving[node] or marked:
+                marked = self.in_force[node].offset == 2
+                if self.heard_leaving[node] or marked:
                     assert not self._grants(node), f"node {node} gave it new work"
 
     return Leaving
