--- a/tests/adapter/store_documents.py
+++ b/tests/adapter/store_documents.py
@@ -49,7 +49,7 @@
         self._records = tuple(records)
         self.asked: list[str | None] = []
 
-    async def ask(self, method: str, call: str, *, params: dict) -> Fields:
+    async def request_json(self, method: str, call: str, *, params: dict) -> Fields:
         index = len(self.asked) % len(self._pages)
         self.asked.append(params.get("since_rev"))
         rows = list(self._pages[index])
--- a/tests/adapter/test_boundary.py
+++ b/tests/adapter/test_boundary.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from boot import UnusableSettingsError, load_boot_settings
+from boot import InvalidSettingsError, load_boot_settings
 from platform_documents import SETTINGS
 
 
@@ -87,20 +87,24 @@
     ("before", "after", "said"),
     [
         ('node_name = "edge-0"', "", "node_name: missing"),
-        ('node_name = "edge-0"', 'node_name = ""', "node_name: a text that is not"),
+        (
+            'node_name = "edge-0"',
+            'node_name = ""',
+            "node_name: expected a non-empty string",
+        ),
         (
             "call_bytes = 4100",
             "call_bytes = 0",
-            "platform.call_bytes: a number above 0",
+            "platform.call_bytes: expected a number above 0",
         ),
         (
             "call_bytes = 4100",
             'call_bytes = "4"',
-            "platform.call_bytes: a number above",
+            "platform.call_bytes: expected a number above",
         ),
-        ('"127.0.0.1:1003"', '"127.0.0.1"', "platform.address: HOST:PORT"),
+        ('"127.0.0.1:1003"', '"127.0.0.1"', "platform.address: expected HOST:PORT"),
         ("lease_ms = 1000", "", "timing_bounds.lease_ms: missing"),
-        ("grace_s = 8", "grace_s = true", "timing_bounds.grace_s: a number"),
+        ("grace_s = 8", "grace_s = true", "timing_bounds.grace_s: expected a number"),
         ("[platform]", "[platform", "boot.toml: "),
     ],
 )
@@ -112,7 +116,7 @@
     """
     path = tmp_path / "boot.toml"
     path.write_text(_settings().replace(before, after, 1))
-    with pytest.raises(UnusableSettingsError, match=re.escape(said)):
+    with pytest.raises(InvalidSettingsError, match=re.escape(said)):
         load_boot_settings(path)
     done = subprocess.run(
         [sys.executable, str(_ROOT / "platform" / "edge.py")],
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -13,13 +13,13 @@
 
 import wire
 from documents import (
-    UnusableBodyError,
+    InvalidBodyError,
     decode_config,
     decode_engine_entry,
+    decode_engine_state,
     decode_job,
     decode_named_version,
-    decode_report,
-    encode_reading,
+    encode_results,
 )
 from engine_documents import (
     BORN,
@@ -48,7 +48,7 @@
     "configuration": (decode_config, make_config()),
     "named version": (decode_named_version, {"model": "model-a", "version": 2}),
     "entry": (_entry, make_entry()),
-    "report": (decode_report, make_report()),
+    "report": (decode_engine_state, make_report()),
     "job": (_job, make_job(1)),
 }
 
@@ -63,7 +63,7 @@
     """
     entry = decode_engine_entry("engine-a", as_bytes(make_entry()))
     assert entry.started_at == BORN
-    assert decode_report(as_bytes(make_report())).started_at == BORN
+    assert decode_engine_state(as_bytes(make_report())).started_at == BORN
 
 
 def test_an_engine_that_does_not_say_its_start_can_be_used():
@@ -72,7 +72,7 @@
     """
     entry = decode_engine_entry("engine-a", _without(make_entry(), "born"))
     assert entry.started_at is None
-    assert decode_report(_without(make_report(), "born")).started_at is None
+    assert decode_engine_state(_without(make_report(), "born")).started_at is None
 
 
 @pytest.mark.parametrize("born", [None, True, "1700000000123", 1.5, 1.0, -1, [1], {}])
@@ -80,10 +80,10 @@
     """
     Whoever wrote it is none of the engines known.
     """
-    with pytest.raises(UnusableBodyError, match="born"):
+    with pytest.raises(InvalidBodyError, match="born"):
         decode_engine_entry("engine-a", as_bytes(make_entry(born=born)))
-    with pytest.raises(UnusableBodyError, match="born"):
-        decode_report(as_bytes(make_report(born=born)))
+    with pytest.raises(InvalidBodyError, match="born"):
+        decode_engine_state(as_bytes(make_report(born=born)))
 
 
 @pytest.mark.parametrize("kind", _DECODERS)
@@ -93,7 +93,7 @@
     One unreadable value must neither end the process nor hide what comes behind it.
     """
     decode, _ = _DECODERS[kind]
-    with pytest.raises(UnusableBodyError):
+    with pytest.raises(InvalidBodyError):
         decode(HOSTILE_BYTES[name])
 
 
@@ -108,7 +108,7 @@
     for data in spoilt(body, value):
         try:
             decode(data)
-        except UnusableBodyError as error:
+        except InvalidBodyError as error:
             assert str(error)
 
 
@@ -118,7 +118,7 @@
     """
     config = make_config()
     config["routes"][1]["slo_ms"] = "fast"
-    with pytest.raises(UnusableBodyError, match=r"^routes\[1\]\.slo_ms: a number"):
+    with pytest.raises(InvalidBodyError, match=r"^routes\[1\]\.slo_ms: a number"):
         decode_config(as_bytes(config))
 
 
@@ -128,7 +128,7 @@
     """
     reasons = set()
     for head in (b'{"seq_no": 9, ', b'{"seq_no": 10, '):
-        with pytest.raises(UnusableBodyError) as caught:
+        with pytest.raises(InvalidBodyError) as caught:
             _entry(head + b"nonsense")
         reasons.add(str(caught.value))
     assert len(reasons) == 1
@@ -151,7 +151,7 @@
     """
     Used or not: whoever wrote it is none of the engines known. The reason names it.
     """
-    with pytest.raises(UnusableBodyError, match=f"^{name}: "):
+    with pytest.raises(InvalidBodyError, match=f"^{name}: "):
         _entry(as_bytes(make_entry(**{name: value})))
 
 
@@ -172,7 +172,7 @@
     """
     The reason names the field.
     """
-    with pytest.raises(UnusableBodyError, match=f"'{name}' is missing"):
+    with pytest.raises(InvalidBodyError, match=f"'{name}' is missing"):
         _entry(_without(make_entry(), name))
 
 
@@ -207,7 +207,7 @@
     """
     Anything else would be asked for in place of an engine.
     """
-    with pytest.raises(UnusableBodyError, match=r"^address: "):
+    with pytest.raises(InvalidBodyError, match=r"^address: "):
         _entry(as_bytes(make_entry(address=address)))
 
 
@@ -246,7 +246,7 @@
     """
     An item is sent to an engine for a version that it must really hold.
     """
-    with pytest.raises(UnusableBodyError, match=f"^{re.escape(place)}: "):
+    with pytest.raises(InvalidBodyError, match=f"^{re.escape(place)}: "):
         _entry(as_bytes(make_entry(models=models)))
 
 
@@ -255,7 +255,7 @@
     """
     Requests tell the engine by its id that it is meant.
     """
-    with pytest.raises(UnusableBodyError, match=r"^key: "):
+    with pytest.raises(InvalidBodyError, match=r"^key: "):
         decode_engine_entry(key, as_bytes(make_entry()))
 
 
@@ -303,8 +303,8 @@
     """
     An order is only given on a count that is sure.
     """
-    with pytest.raises(UnusableBodyError, match=f"^{name}"):
-        decode_report(as_bytes(make_report(**{name: value})))
+    with pytest.raises(InvalidBodyError, match=f"^{name}"):
+        decode_engine_state(as_bytes(make_report(**{name: value})))
 
 
 def test_an_answer_to_a_reader_stays_below_its_bound():
@@ -313,7 +313,7 @@
     """
     texts = ["\n" * 300_000] * 3
     reading = JobReading(9, 5, tuple(_read(n, text) for n, text in enumerate(texts)))
-    answer = encode_reading(reading)
+    answer = encode_results(reading)
     assert len(answer) < 1_000_000
     body = json.loads(answer)
     assert body["total"] == 9
@@ -326,7 +326,7 @@
     However long its text is, since the reader would ask for it again for ever.
     """
     reading = JobReading(1, 1, (_read(0, "\n" * 600_000),))
-    body = json.loads(encode_reading(reading))
+    body = json.loads(encode_results(reading))
     assert [result["message"] for result in body["results"]] == ["\n" * 600_000]
     assert body["next_token"] == 1
 
@@ -335,7 +335,7 @@
     """
     Nothing is listed from the position on.
     """
-    body = json.loads(encode_reading(JobReading(4, 2, ())))
+    body = json.loads(encode_results(JobReading(4, 2, ())))
     assert body == {"total": 4, "next_token": 2, "results": []}
 
 
--- a/tests/adapter/test_documents_properties.py
+++ b/tests/adapter/test_documents_properties.py
@@ -16,12 +16,12 @@
 
 from document_strategies import json_bytes, json_values, mutated
 from documents import (
-    UnusableBodyError,
+    InvalidBodyError,
     decode_config,
     decode_engine_entry,
+    decode_engine_state,
     decode_job,
     decode_named_version,
-    decode_report,
 )
 from engine_documents import as_bytes, make_entry, make_report
 from platform_documents import make_config, make_job
@@ -66,7 +66,7 @@
     """
     try:
         return decode(data)
-    except UnusableBodyError as error:
+    except InvalidBodyError as error:
         assert _PLACE.match(str(error))
         return None
 
@@ -126,7 +126,7 @@
     """
     Versions, and orders taken, are whole numbers.
     """
-    report = _decoded(decode_report, data)
+    report = _decoded(decode_engine_state, data)
     if report is None:
         return
     assert isinstance(report, EngineState)
--- a/tests/adapter/test_edge_keys.py
+++ b/tests/adapter/test_edge_keys.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from documents import UnusableBodyError, decode_config
+from documents import InvalidBodyError, decode_config
 from platform_bed import PlatformBed, until
 from platform_documents import make_config, make_job, texts, whole_texts
 
@@ -209,7 +209,7 @@
     Nothing of the configuration is taken then, and no message holds a key.
     """
     data = json.dumps(make_config(2, tenants=tenants)).encode()
-    with pytest.raises(UnusableBodyError, match=place) as caught:
+    with pytest.raises(InvalidBodyError, match=place) as caught:
         decode_config(data)
     assert "red-1" not in str(caught.value)
 
@@ -220,7 +220,7 @@
     """
     config = _config(2, _RED)
     config["routes"][1]["auth_exempt"] = "false"
-    with pytest.raises(UnusableBodyError, match=r"routes\[1\]\.auth_exempt"):
+    with pytest.raises(InvalidBodyError, match=r"routes\[1\]\.auth_exempt"):
         decode_config(json.dumps(config).encode())
 
 
--- a/tests/adapter/test_engine_sessions.py
+++ b/tests/adapter/test_engine_sessions.py
@@ -22,10 +22,10 @@
 
     async def play():
         sessions = EngineSessions(aiohttp.ClientSession)
-        first = sessions.of(make_engine_entry("e-1", started_at=1))
-        assert sessions.of(make_engine_entry("e-1", started_at=1)) is first
-        again = sessions.of(make_engine_entry("e-1", started_at=2))
-        other = sessions.of(make_engine_entry("e-2", started_at=2))
+        first = sessions.session_for(make_engine_entry("e-1", started_at=1))
+        assert sessions.session_for(make_engine_entry("e-1", started_at=1)) is first
+        again = sessions.session_for(make_engine_entry("e-1", started_at=2))
+        other = sessions.session_for(make_engine_entry("e-2", started_at=2))
         await asyncio.sleep(0)
         assert len({first, again, other}) == 3
         assert first.closed
@@ -44,12 +44,12 @@
 
     async def play():
         sessions = EngineSessions(aiohttp.ClientSession)
-        unused = sessions.of(make_engine_entry("e-1", address="127.0.0.1:1"))
-        used = sessions.of(make_engine_entry("e-2", address="127.0.0.1:2"))
+        unused = sessions.session_for(make_engine_entry("e-1", address="127.0.0.1:1"))
+        used = sessions.session_for(make_engine_entry("e-2", address="127.0.0.1:2"))
         now = engine_sessions.boot_time()
         monkeypatch.setattr(engine_sessions, "boot_time", lambda: now + 121.0)
-        sessions.of(make_engine_entry("e-2", address="127.0.0.1:2"))
-        sessions.of(make_engine_entry("e-3", address="127.0.0.1:3"))
+        sessions.session_for(make_engine_entry("e-2", address="127.0.0.1:2"))
+        sessions.session_for(make_engine_entry("e-3", address="127.0.0.1:3"))
         await asyncio.sleep(0)
         assert unused.closed
         assert not used.closed
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -27,8 +27,8 @@
     Guard(
         "an item is not blamed for engines that it did not reach",
         "platform/engines.py",
-        'GenerationFailedError.UNREACHED, f"not connected',
-        'GenerationFailedError.BROKEN, f"not connected',
+        "                GenerationFailedError.UNREACHED,\n",
+        "                GenerationFailedError.BROKEN,\n",
         ("tests/adapter/test_edge_unreached_engines.py", "did_not_reach"),
     ),
     Guard(
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -101,8 +101,8 @@
     Guard(
         "kept connections are of one life",
         "platform/engine_sessions.py",
-        "if kept is None or kept.incarnation != engine.incarnation:",
-        "if kept is None:",
+        "if current is None or current.incarnation != engine.incarnation:",
+        "if current is None:",
         ("tests/adapter/test_engine_sessions.py", "one_life"),
     ),
     Guard(
@@ -122,7 +122,7 @@
     Guard(
         "a reason is logged once, however often an engine writes",
         "platform/store.py",
-        "if self._reasons.get(key) == reason:",
+        "if self._logged_reasons.get(key) == reason:",
         "if False:",
         (REGISTRY, "logged_once"),
     ),
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -25,7 +25,7 @@
     Guard(
         "no engine is shown a key, nor the caller's own word",
         "platform/engines.py",
-        "if pair[0].lower() not in own",
+        "if pair[0].lower() not in replaced",
         "if True",
         (KEYS, "in_place_of_the_key"),
     ),
@@ -124,8 +124,8 @@
     Guard(
         "an edge that stood still looks again before it ends",
         "platform/edge.py",
-        "if boot_time() > began + _LAME_DUCK and on_time and not front.in_flight:",
-        "if boot_time() > began + _LAME_DUCK and not front.in_flight:",
+        "if boot_time() > started_at + _LAME_DUCK and on_time and not front.in_flight:",
+        "if boot_time() > started_at + _LAME_DUCK and not front.in_flight:",
         (STOPS, "stood_still"),
     ),
     Guard(
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -28,7 +28,7 @@
         "a stream without its end is not whole",
         "platform/engines.py",
         """            raise GenerationFailedError(
-                GenerationFailedError.BROKEN, short(error)
+                GenerationFailedError.BROKEN, summarize_error(error)
             ) from None
 """,
         "            return\n",
@@ -109,7 +109,7 @@
     Guard(
         "the engine stops when the caller leaves",
         "platform/front.py",
-        "            work.cancel()\n",
+        "            answer_task.cancel()\n",
         "",
         (REQUESTS, "caller_leaves"),
     ),
@@ -130,7 +130,7 @@
     Guard(
         "a success carries the engine's mark",
         "platform/engine_answers.py",
-        "if response.status < 300 and not mark:",
+        "if response.status < 300 and not signature:",
         "if False:",
         (REQUESTS, "signature"),
     ),
@@ -172,8 +172,8 @@
     Guard(
         "a settings file that changes is noticed without a signal",
         "platform/edge.py",
-        "watching = asyncio.create_task(file.watch(changed))",
-        "watching = asyncio.create_task(asyncio.sleep(3600))",
+        "watch_task = asyncio.create_task(file.watch(apply_settings))",
+        "watch_task = asyncio.create_task(asyncio.sleep(3600))",
         ("tests/adapter/test_edge_settings.py", "taken_while"),
     ),
 )
