--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Fixtures of the adapter's tests.
+Fixtures for the adapters' tests.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 @pytest.fixture
 def long_lease(tmp_path):
     """
-    One edge, whose lease for orders has a term of 8 s.
+    One edge, with a lease term of 8 s for orders.
     """
     with PlatformBed.open(tmp_path, lease_ms=8000) as bed:
         yield bed
--- a/tests/adapter/document_strategies.py
+++ b/tests/adapter/document_strategies.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Strategies for bodies that anybody may have written.
+Hypothesis strategies for untrusted message bodies.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 __all__ = ["json_bytes", "json_values", "mutated"]
 
-#: Stands for a value that only a text of JSON can spell.
+#: Placeholder for a value that is written as raw JSON text.
 _MARK = "here it goes"
 
 _SCALARS = (
@@ -33,7 +33,7 @@
 
 def json_values() -> SearchStrategy:
     """
-    Any value of JSON, and some numbers that only Python's JSON has.
+    Return a strategy for JSON values, with numbers that only Python's JSON accepts.
     """
     return st.recursive(
         _SCALARS,
@@ -47,7 +47,7 @@
 
 def json_bytes() -> SearchStrategy[bytes]:
     """
-    Bodies that hold any value of JSON.
+    Return a strategy for bodies with any JSON value.
     """
     return json_values().map(lambda value: json.dumps(value).encode())
 
@@ -55,7 +55,7 @@
 @st.composite
 def mutated(draw: DrawFn, document: dict) -> bytes:
     """
-    A good body with a few of its fields gone or changed, or with a few bytes changed.
+    Draw a valid body with a few fields removed or changed, or a few bytes changed.
     """
     changed = copy.deepcopy(document)
     for _ in range(draw(st.integers(0, 3))):
--- a/tests/adapter/engine_documents.py
+++ b/tests/adapter/engine_documents.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of what engines say of themselves: entries and reports.
+Builders for registry entries and reports of engines.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 #: Start of a process, in Unix milliseconds.
 BORN = 1_700_000_000_123
 
-#: What a key may hold whoever writes it; none of it is a body of the protocol.
+#: Values that are no valid body of the protocol.
 HOSTILE_BYTES = {
     "empty": b"",
     "no JSON": b"{",
@@ -43,7 +43,7 @@
     "a number of 10,000 digits": b'{"slots": ' + b"9" * 10_000 + b"}",
 }
 
-#: Texts of JSON that no field may hold.
+#: JSON texts that are invalid for every field.
 HOSTILE_VALUES = {
     "beyond floats": "1e999",
     "below floats": "-1e999",
@@ -80,7 +80,7 @@
 
 def make_report(**changes: object) -> dict[str, Any]:
     """
-    Return a report as an engine answers it.
+    Return a report as an engine sends it.
     """
     fields = {
         "stage": "both",
@@ -94,16 +94,16 @@
 
 def as_bytes(document: object) -> bytes:
     """
-    Return a document as it stands in a body.
+    Return a document as a message body.
     """
     return json.dumps(document).encode()
 
 
 def spoilt(document: object, value: str) -> Iterator[bytes]:
     """
-    Yield a document once for each of its fields, which then holds something else.
+    Yield the document once for each of its fields, with that field's value replaced.
 
-    :param value: A text of JSON.
+    :param value: The new value, as JSON text.
     """
     mark = "here it goes"
     for *way, last in places(document):
@@ -117,7 +117,7 @@
 
 def places(node: object) -> Iterator[tuple]:
     """
-    Yield the way to each field, however far in.
+    Yield the path of each field, nested ones included.
     """
     match node:
         case dict():
--- a/tests/adapter/platform_bed.py
+++ b/tests/adapter/platform_bed.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A small deployment on loopback: the real edge program before stand-ins of the platform.
+A small deployment on loopback: the edge program with stand-ins of the platform.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 _HERE = Path(__file__).parent
 _ROOT = _HERE.parent.parent
-#: Ports of the tests; each process of a test run takes a range of so many.
+#: Ports for tests: first, last, and number of ports that each test process claims.
 _FIRST_PORT, _LAST_PORT, _PORTS = 20_000, 32_000, 500
 
 
 @dataclass(frozen=True)
 class Answer:
     """
-    What an edge answered; names of headers in lower case.
+    An edge's response; header names are in lower case.
     """
 
     status: int
@@ -52,9 +52,9 @@
 
 def _claim_range() -> tuple[socket.socket, int]:
     """
-    Take a range of ports for this process, by its first one, which stays bound.
+    Claim a range of ports for this process by binding its first port.
 
-    Below the ports that the system gives to outgoing connections.
+    The range is below the ephemeral ports of outgoing connections.
     """
     for base in range(_FIRST_PORT, _LAST_PORT, _PORTS):
         claim = socket.socket()
@@ -73,7 +73,7 @@
 
 def free_port() -> int:
     """
-    Return a port that nobody else takes before it is used.
+    Return a free port of the range that this process has claimed.
     """
     for _ in range(_PORTS):
         port = _base + 1 + next(_port_numbers) % (_PORTS - 1)
@@ -85,7 +85,7 @@
 
 def until(check: Callable[[], object], timeout: float = 10.0) -> object:
     """
-    Return the check's first true value.
+    Poll the check and return its first true value.
     """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
@@ -109,7 +109,7 @@
 @dataclass
 class PlatformBed:
     """
-    A store, engines and edges; every process is started here and ended here.
+    Processes of a store, engines and edges; all are stopped at exit.
     """
 
     folder: Path
@@ -137,9 +137,9 @@
         """
         Start everything and wait until the edges are ready.
 
-        :param lease_ms: Term of the leases of duties.
-        :param duties: Whether usage is to be reported.
-        :param config: The first configuration.
+        :param lease_ms: Lease term, in milliseconds.
+        :param duties: Whether usage is reported.
+        :param config: First configuration; None for the default one.
         """
         bed = cls(folder, lease_ms=lease_ms, duties=duties)
         try:
@@ -167,7 +167,7 @@
         self, engine_id: str, service: str, model: str = "", port: int = 0
     ) -> None:
         """
-        Start an engine, which writes its entry.
+        Start an engine, which writes its registry entry.
         """
         port = port or free_port()
         self.engine_ports[engine_id] = port
@@ -180,7 +180,7 @@
 
     def journal(self, engine_id: str) -> Path:
         """
-        Return the file that tells what an engine did in all its lives.
+        Return the file in which all incarnations of an engine record their actions.
         """
         return self.folder / f"{engine_id}.journal"
 
@@ -193,7 +193,7 @@
         state: str = "ready",
     ) -> None:
         """
-        Write an entry in an engine's place, of the life that it has if it was started.
+        Write a registry entry on an engine's behalf, with its start time if it runs.
         """
         started = engine_id in self.engine_ports
         born = self.fake_engine(engine_id)["born"] if started else BORN
@@ -237,7 +237,7 @@
 
     def runs(self) -> list[dict]:
         """
-        Return what the live engines began to work on, by any of them.
+        Return the requests that the running engines started.
         """
         live = [name for name in self.engine_ports if self.is_running(name)]
         return [run for name in live for run in self.fake_engine(name)["runs"]]
@@ -247,7 +247,7 @@
 
     def start_edge(self, name: str) -> None:
         """
-        Start an edge, or start it again with the settings it had.
+        Start or restart an edge; ports stay the same across restarts.
         """
         front = self.front_ports.setdefault(name, free_port())
         ready = self.ready_ports.setdefault(name, free_port())
@@ -277,7 +277,7 @@
 
     def change_settings(self, name: str, before: str, after: str) -> None:
         """
-        Replace a text in an edge's settings file, as a whole file at once.
+        Replace a text in an edge's settings file, by an atomic replacement of the file.
         """
         path = self.settings_path(name)
         text = path.read_text()
@@ -288,7 +288,7 @@
 
     def settings_in_force(self, name: str) -> str:
         """
-        Return the version that an edge's metrics tell.
+        Return the version of the settings in force, from an edge's metrics.
         """
         pattern = r'saddledoor_settings\{.*version="(\w+)".*\} 1'
         (version,) = re.findall(pattern, self._metrics(name))
@@ -296,7 +296,7 @@
 
     def skipped_records(self, name: str) -> dict[str, int]:
         """
-        Return the records that an edge could not use, by what they hold.
+        Return an edge's counts of skipped records, by kind.
         """
         pattern = r'saddledoor_records_skipped_total\{.*?of="(\w+)".*\} (\d+)'
         return {of: int(n) for of, n in re.findall(pattern, self._metrics(name))}
@@ -309,7 +309,7 @@
 
     def log(self, name: str) -> list[dict]:
         """
-        Return an edge's log lines; each has to be JSON.
+        Return an edge's log lines, parsed as JSON.
         """
         text = self.processes[name].out.read_text()
         return [json.loads(line) for line in text.splitlines()]
@@ -331,7 +331,7 @@
         **headers: str,
     ) -> Answer:
         """
-        Ask an edge as a client.
+        Send a request to an edge as a client.
         """
         fields = {"Host": HOST, **{k.replace("_", "-"): v for k, v in headers.items()}}
         if request_id:
@@ -356,14 +356,14 @@
         self, job_id: str, items: int, edge: str = "edge-0", **headers: str
     ) -> list[dict]:
         """
-        Wait for all results.
+        Wait for all results of a job and return them.
         """
         until(lambda: len(self.results(job_id, edge, **headers)) == items, 20.0)
         return self.results(job_id, edge, **headers)
 
     def owner(self) -> str:
         """
-        Return the edge that runs the jobs, as far as the logs say; empty for none.
+        Return the edge that runs the jobs, according to the logs; empty if none does.
         """
         for name in self.front_ports:
             events = [line["event"] for line in self.log(name)]
--- a/tests/adapter/platform_documents.py
+++ b/tests/adapter/platform_documents.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of what the platform and its clients send: settings, configurations, jobs.
+Builders for settings, configurations and jobs of the platform and its clients.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 HOST = "desk.example"
 MODEL = "model-a"
-#: Items of a job unless a test says otherwise, a count.
+#: Default number of items of a job.
 ITEMS = 6
 
 
 def make_config(version: int = 1, **changes: object) -> dict:
     """
-    Return a configuration with a look-up, a booking and a trainer's route.
+    Return a configuration with a safe, an unsafe and a job route.
     """
     plain = {"host": HOST, "timeout_ms": 2000, "slo_ms": 200, "priority": 2}
     routes = [
@@ -83,7 +83,7 @@
 
 def make_job(items: int = 6, **changes: object) -> dict:
     """
-    Return a job as a trainer submits it; two items a group.
+    Return a job as a trainer submits it, with two items per group.
     """
     requests = [
         {
@@ -108,7 +108,7 @@
 
 def texts(results: list[dict]) -> dict[str, str]:
     """
-    Return the texts that a reader got, by item.
+    Return the texts of results, by item.
     """
     return {result["id"]: result["message"] for result in results}
 
@@ -149,7 +149,7 @@
 status_s = 120
 """
 
-#: What is added where the platform has duties; windows of 1 s, reports due after 4 s.
+#: Additional settings where usage is reported: windows of 1 s, reports due after 4 s.
 DUTIES = """
 report_window_s = 1
 usage_late_s = 4
--- a/tests/adapter/standin_duties.py
+++ b/tests/adapter/standin_duties.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of the platform's interface for duties: fences, lost answers, late execution.
+Stand-in for the platform's interface for duties: fencing, lost answers, late execution.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 __all__ = ["duties_app"]
 
-#: How long after a call without an answer it is carried out, in seconds.
+#: Delay after which an unanswered call is carried out, in seconds.
 _LATE = 2.0
 
 
 class _Duties:
     """
-    What it was told, and what a test wants to go wrong.
+    The received calls, and the faults that a test sets.
 
     :ivar mode: ``ok``, or how every call fails: ``busy`` (429), ``reset``, ``silent``;
-        ``mute`` is silent to reports that hold requests.
-    :ivar lose: So many calls are carried out and get no answer.
-    :ivar late: So many calls get no answer and are carried out later.
-    :ivar fenced: Whether a lower fence than one seen is refused.
-    :ivar calls: Every call that arrived, carried out or not.
-    :ivar reports: Those that were carried out, in order.
+        ``mute`` is silent to reports with counts.
+    :ivar lose: Number of calls that are carried out but not answered.
+    :ivar late: Number of calls that are not answered and carried out later.
+    :ivar fenced: Whether fencing tokens below the highest seen one are refused.
+    :ivar calls: All calls that arrived.
+    :ivar reports: Reports that were carried out, in order.
     """
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
 
     async def fake(self, request: web.Request) -> web.Response:
         """
-        Set what goes wrong, and show what has come.
+        Set faults, and return the calls and reports.
         """
         for name, value in (await request.json()).items():
             setattr(self, name, value)
@@ -94,7 +94,7 @@
 
 def duties_app() -> web.Application:
     """
-    Return the interface.
+    Return the stand-in's application.
     """
     duties = _Duties()
     app = web.Application()
--- a/tests/adapter/standin_engine.py
+++ b/tests/adapter/standin_engine.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of an engine on the platform: requests, streams of events, reports, orders.
+Stand-in for an engine of the platform: requests, event streams, reports, orders.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 __all__ = ["CRASHING", "engine_app"]
 
-#: How the body of a request begins that ends each engine which begins to run it.
+#: Prefix of the body of a request that crashes each engine which starts it.
 CRASHING = b"crash"
-#: How long such a request runs before its engine ends, in seconds.
+#: Time that such a request runs before its engine crashes, in seconds.
 _CRASH_AFTER = 0.05
 
 
 @dataclass
 class _Run:
     """
-    A request that the engine began to work on.
+    A request that the engine started.
 
-    :ivar tenant: The workspace that it came with, if any.
-    :ivar key: The caller's key, which no engine should see.
+    :ivar tenant: Workspace in the request's headers, if any.
+    :ivar key: Caller's key in the request's headers, which engines should never get.
     """
 
     request_id: str
@@ -47,17 +47,17 @@
 @dataclass
 class _Faults:
     """
-    What a test wants to go wrong.
+    Faults that a test sets.
 
-    :ivar cut_after: Streams break off in the middle of the event after this one.
-    :ivar hang_after: Streams fall silent after this event.
-    :ivar no_end: Streams break off after their last event, before the end marker.
-    :ivar extra: A second, foreign answer follows each plain one.
+    :ivar cut_after: Streams end within the event after this one.
+    :ivar hang_after: Streams stall after this event.
+    :ivar no_end: Streams end after their last event, before the end marker.
+    :ivar extra: A second response follows each plain one on the same connection.
     :ivar wrong_id: Plain answers carry the id of another request.
     :ivar unsigned: Plain answers lack the engine's signature.
-    :ivar delay: Work of a plain request, in seconds.
-    :ivar fail: Status of every answer; 0 for none.
-    :ivar late_orders: So many orders get no answer and are carried out later.
+    :ivar delay: Processing time of a plain request, in seconds.
+    :ivar fail: Status of every answer; 0 for no failure.
+    :ivar late_orders: Number of orders that are not answered and carried out later.
     """
 
     cut_after: int = 0
@@ -231,7 +231,7 @@
 
     async def write_entry(self) -> None:
         """
-        Tell the store of this engine.
+        Write the engine's entry to the store.
         """
         entry = {
             "service": self.service,
@@ -256,7 +256,7 @@
 
     def _note(self, what: str, **fields: object) -> None:
         """
-        Write a line to the journal, which outlives this process.
+        Append a line to the journal, which is kept across restarts.
         """
         if self.journal is None:
             return
@@ -271,7 +271,7 @@
 
     async def fake(self, request: web.Request) -> web.Response:
         """
-        Set faults or fields, and show what was run and ordered.
+        Set faults or fields, and return the requests and orders so far.
         """
         body = await request.json()
         for name, value in body.items():
@@ -290,7 +290,7 @@
 
 async def _with_extra(request, headers: dict, body: bytes) -> web.StreamResponse:
     """
-    Answer, and send a whole foreign answer right behind on the same connection.
+    Answer, and send a second, unrelated response on the same connection.
     """
     lines = [f"{name}: {value}" for name, value in headers.items()]
     foreign = json.dumps({"foreign": True}).encode()
@@ -313,9 +313,10 @@
     journal: str = "",
 ) -> web.Application:
     """
-    Return an engine; without a model it is a plain service.
+    Return an engine's application; without a model it is a plain service.
 
-    :param journal: File that is told of runs, events and orders; empty for none.
+    :param journal: File in which requests, events and orders are recorded; empty for
+        none.
     """
     path = Path(journal) if journal else None
     engine = _Engine(engine_id, model, address, service, store, path)
--- a/tests/adapter/standin_store.py
+++ b/tests/adapter/standin_store.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of the platform's store: topics, keyed topics, groups, and their failures.
+Stand-in for the platform's store: topics, keyed topics and their failures.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 __all__ = ["store_app"]
 
-#: Largest record, in bytes; the tests' settings say the same.
+#: Maximum size of a record, in bytes; must match the tests' settings.
 _RECORD_BYTES = 2048
 
 
@@ -34,20 +34,22 @@
 
 class _Store:
     """
-    Everything the store holds, and what a test wants to go wrong.
+    The store's content, and the faults that a test sets.
 
     :ivar mode: ``ok``, or how every call fails: ``busy`` (503), ``reset``, ``silent``.
-    :ivar lose_done: So many appends are done and get no answer.
-    :ivar lose_undone: So many appends get no answer and are not done.
-    :ivar late_by: Seconds after which the appends of ``lose_undone`` are done all the
-        same; 0 for never.
-    :ivar page: Records in one answer to a read, a count.
-    :ivar lose_in: The topic that both are about; empty for all.
-    :ivar busy_after: After so many appends to ``texts`` every call fails; 0 for never.
-    :ivar slow_by: Time that each read takes, in seconds.
-    :ivar slow_in: The topic that ``slow_by`` is about; empty for all.
-    :ivar slow_entries: Time that a look at the engines' entries takes, in seconds.
-    :ivar reads: Records read of each topic, a count.
+    :ivar lose_done: Number of appends that are carried out but not answered.
+    :ivar lose_undone: Number of appends that are neither answered nor carried out.
+    :ivar late_by: Delay after which the appends of ``lose_undone`` are carried out
+        after all, in seconds; 0 for never.
+    :ivar page: Maximum number of records in the answer to a read.
+    :ivar lose_in: Topic to which ``lose_done`` and ``lose_undone`` apply; empty for
+        all.
+    :ivar busy_after: Number of appends to ``texts`` after which every call fails; 0 for
+        never.
+    :ivar slow_by: Duration of each read, in seconds.
+    :ivar slow_in: Topic to which ``slow_by`` applies; empty for all.
+    :ivar slow_entries: Duration of each read of the engines' entries, in seconds.
+    :ivar reads: Number of records read, by topic.
     """
 
     def __init__(self) -> None:
@@ -151,7 +153,7 @@
         ]
         after = request.query.get("since_rev", "")
         rows = [row for row in rows if row["private_key"] > after]
-        # Small pages, so that the client's paging is tried.
+        # Small pages, so that tests cover the client's paging.
         page, more = rows[:2], len(rows) > 2
         return web.json_response(
             {"requests": page, "has_more": more, "end": self.topic(name).end}
@@ -212,7 +214,7 @@
 
 def store_app() -> web.Application:
     """
-    Return the store.
+    Return the stand-in's application.
     """
     store = _Store()
     app = web.Application(client_max_size=8_000_000)
--- a/tests/adapter/standins.py
+++ b/tests/adapter/standins.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Runs a stand-in of the platform: ``standins.py store|engine|duties PORT ...``.
+Runs a stand-in for the platform: ``standins.py store|engine|duties PORT ...``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 def main(kind: str, port: str, *rest: str) -> None:
     """
-    Serve on a loopback port until killed.
+    Serve on a loopback port until terminated.
     """
     address = f"127.0.0.1:{port}"
     apps = {
@@ -25,7 +25,7 @@
         "engine": lambda: engine_app(address, *rest),
         "duties": duties_app,
     }
-    # A handler must learn that its caller left.
+    # Cancel a handler when its caller disconnects.
     web.run_app(
         apps[kind](),
         host="127.0.0.1",
--- a/tests/adapter/store_documents.py
+++ b/tests/adapter/store_documents.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of what the store answers about a keyed topic.
+Builders for the store's answers about a keyed topic.
 """
 
 from __future__ import annotations
@@ -36,10 +36,10 @@
 
 class KeyedStore:
     """
-    A store that answers with the pages it was given, one after the other.
+    A store that answers with the given pages in turn.
 
-    :param pages: Rows of the newest values.
-    :param records: What the topic's log holds.
+    :param pages: Rows of the newest values, by page.
+    :param records: Records of the topic's log.
     """
 
     def __init__(
--- a/tests/adapter/test_boundary.py
+++ b/tests/adapter/test_boundary.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The platform's names stay in its folder; its settings are checked.
+Names of the platform's protocol stay in the adapters; settings are validated.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 _ROOT = Path(__file__).parent.parent.parent
-#: Headers, paths, topics and words of settings that only the adapter may know.
+#: Headers, paths, topics and settings that only the adapters may name.
 _NAMES = re.compile(
     r"saddledoor-(attempt|server|deadline|expect|not-exec|urgency|wait-ms|weight-v|kv)"
     r"|/v1/(log-|order\b|lots|items|report\b|readiness)"
@@ -32,7 +32,7 @@
 
 def test_nothing_outside_the_adapter_knows_a_name_of_the_platform():
     """
-    Neither a header, a path, a topic nor a word of the settings file.
+    No header, path, topic or setting.
     """
     found = [
         f"{path.name}: {match.group()}"
@@ -44,7 +44,7 @@
 
 def test_the_standard_library_is_not_shadowed():
     """
-    The folder's name is that of a standard module; the program must see the latter.
+    The folder has the name of a standard module, which must stay importable.
     """
     code = "import platform, sys; sys.exit(not hasattr(platform, 'python_version'))"
     for folder in (_ROOT, _ROOT / "platform"):
@@ -54,7 +54,7 @@
 
 def test_settings_can_be_checked_without_running(tmp_path):
     """
-    Exit status 0 and one line.
+    Exits with status 0 and prints one line.
     """
     path = tmp_path / "boot.toml"
     path.write_text(_settings())
@@ -74,7 +74,7 @@
 
 def test_settings_are_read_and_unknown_fields_passed_over(tmp_path):
     """
-    The file may gain fields.
+    Later versions of the file may add fields.
     """
     path = tmp_path / "boot.toml"
     path.write_text(_settings())
@@ -132,7 +132,7 @@
 
 def test_an_interface_of_the_platform_without_duties_asks_for_no_usage(tmp_path):
     """
-    The settings are taken all the same.
+    The settings are valid.
     """
     path = tmp_path / "boot.toml"
     path.write_text(_settings() + '[cloud_api]\naddress = "127.0.0.1:1004"\n')
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What the decoders of the platform's bodies take, and what they refuse.
+Which bodies the platform's decoders accept and reject.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
     return decode_job("job-a", "desk.example", "/train/x", data)
 
 
-#: Each decoder, and a body that it takes.
+#: Each decoder with a valid body.
 _DECODERS = {
     "configuration": (decode_config, make_config()),
     "named version": (decode_named_version, {"model": "model-a", "version": 2}),
@@ -68,7 +68,7 @@
 
 def test_an_engine_that_does_not_say_its_start_can_be_used():
     """
-    Its start is unknown then.
+    Its start time is unknown.
     """
     entry = decode_engine_entry("engine-a", _without(make_entry(), "born"))
     assert entry.started_at is None
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("born", [None, True, "1700000000123", 1.5, 1.0, -1, [1], {}])
 def test_a_start_of_another_type_makes_the_whole_unusable(born):
     """
-    Whoever wrote it is none of the engines known.
+    Such an entry or report was not written by an engine.
     """
     with pytest.raises(InvalidBodyError, match="born"):
         decode_engine_entry("engine-a", as_bytes(make_entry(born=born)))
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("name", HOSTILE_BYTES)
 def test_bytes_that_are_no_body_are_unusable_and_nothing_worse(kind, name):
     """
-    One unreadable value must neither end the process nor hide what comes behind it.
+    An invalid value must not end the process or hide later values.
     """
     decode, _ = _DECODERS[kind]
     with pytest.raises(InvalidBodyError):
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("value", HOSTILE_VALUES.values(), ids=HOSTILE_VALUES)
 def test_a_field_may_hold_any_value_and_no_other_error_is_raised(kind, value):
     """
-    Whether the field is used or not, at the top or further in.
+    Holds for used and unused fields, at any depth.
     """
     decode, body = _DECODERS[kind]
     decode(as_bytes(body))
@@ -114,7 +114,7 @@
 
 def test_an_unusable_body_names_its_place():
     """
-    From the top of the body to the field.
+    The message contains the path of the field.
     """
     config = make_config()
     config["routes"][1]["slo_ms"] = "fast"
@@ -124,7 +124,7 @@
 
 def test_the_reason_is_the_same_each_time_an_engine_writes_nonsense():
     """
-    Whatever stands before the place at which it stops being readable.
+    Independent of the position of the syntax error, so that it is logged once.
     """
     reasons = set()
     for head in (b'{"seq_no": 9, ', b'{"seq_no": 10, '):
@@ -149,7 +149,7 @@
 )
 def test_a_field_of_another_type_or_range_names_no_engine(name, value):
     """
-    Used or not: whoever wrote it is none of the engines known. The reason names it.
+    Holds for unused fields as well; the message names the field.
     """
     with pytest.raises(InvalidBodyError, match=f"^{name}: "):
         _entry(as_bytes(make_entry(**{name: value})))
@@ -170,7 +170,7 @@
 )
 def test_an_entry_without_what_each_engine_states_names_no_engine(name):
     """
-    The reason names the field.
+    The message names the field.
     """
     with pytest.raises(InvalidBodyError, match=f"'{name}' is missing"):
         _entry(_without(make_entry(), name))
@@ -205,7 +205,7 @@
 )
 def test_an_address_is_a_host_and_a_port(address):
     """
-    Anything else would be asked for in place of an engine.
+    Other values could send requests to a host that is no engine.
     """
     with pytest.raises(InvalidBodyError, match=r"^address: "):
         _entry(as_bytes(make_entry(address=address)))
@@ -217,7 +217,7 @@
 )
 def test_an_address_by_name_or_number_is_taken(address):
     """
-    As the engine wrote it.
+    The address is kept as written.
     """
     assert _entry(as_bytes(make_entry(address=address))).address == address
 
@@ -244,7 +244,7 @@
 )
 def test_models_are_named_and_have_versions(models, place):
     """
-    An item is sent to an engine for a version that it must really hold.
+    Items are routed by the versions that engines hold.
     """
     with pytest.raises(InvalidBodyError, match=f"^{re.escape(place)}: "):
         _entry(as_bytes(make_entry(models=models)))
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize("key", ["", "engine a", "engine\n", "engine-\u00e9", "\ud800"])
 def test_an_id_that_no_header_can_carry_names_no_engine(key):
     """
-    Requests tell the engine by its id that it is meant.
+    Requests carry the id of their engine in a header.
     """
     with pytest.raises(InvalidBodyError, match=r"^key: "):
         decode_engine_entry(key, as_bytes(make_entry()))
@@ -261,7 +261,7 @@
 
 def test_fields_that_nobody_knows_are_passed_over():
     """
-    Whatever they hold: engines of tomorrow may state more.
+    Later versions of engines may add fields.
     """
     entry = make_entry(of_tomorrow=[None, {"x": "y"}, -1])
     data = as_bytes(entry).replace(b"-1", b"1e999")
@@ -270,7 +270,7 @@
 
 def test_an_engine_without_models_states_none():
     """
-    Neither models nor the stage that they are at.
+    Models and their stage may be missing.
     """
     entry = make_entry(service="desk")
     del entry["models"], entry["stage"]
@@ -280,7 +280,7 @@
 @pytest.mark.parametrize(("state", "draining"), [("ready", False), ("draining", True)])
 def test_an_engine_says_whether_it_is_leaving(state, draining):
     """
-    By one of two states.
+    An entry's state is either ready or draining.
     """
     assert _entry(as_bytes(make_entry(state=state))).draining is draining
 
@@ -301,7 +301,7 @@
 )
 def test_a_report_says_what_is_held_and_how_many_orders_were_taken(name, value):
     """
-    An order is only given on a count that is sure.
+    Orders depend on an exact number of accepted orders.
     """
     with pytest.raises(InvalidBodyError, match=f"^{name}"):
         decode_engine_state(as_bytes(make_report(**{name: value})))
@@ -309,7 +309,7 @@
 
 def test_an_answer_to_a_reader_stays_below_its_bound():
     """
-    Whatever its texts are made of; what does not fit is left to the next reading.
+    Also with texts that JSON escapes enlarge; further results need another read.
     """
     texts = ["\n" * 300_000] * 3
     reading = JobReading(9, 5, tuple(_read(n, text) for n, text in enumerate(texts)))
@@ -323,7 +323,7 @@
 
 def test_an_answer_to_a_reader_holds_one_result_at_least():
     """
-    However long its text is, since the reader would ask for it again for ever.
+    Otherwise the reader would repeat the same read for ever.
     """
     reading = JobReading(1, 1, (_read(0, "\n" * 600_000),))
     body = json.loads(encode_results(reading))
@@ -333,7 +333,7 @@
 
 def test_an_answer_to_a_reader_may_hold_no_result():
     """
-    Nothing is listed from the position on.
+    There is no result from the position on.
     """
     body = json.loads(encode_results(JobReading(4, 2, ())))
     assert body == {"total": 4, "next_token": 2, "results": []}
@@ -359,6 +359,6 @@
 )
 def test_a_count_in_a_header_is_a_count_or_nothing(text, count):
     """
-    Whoever sent it, no request ends by an error of ours.
+    An invalid header must not raise an error.
     """
     assert wire.read_count(text) == count
--- a/tests/adapter/test_documents_properties.py
+++ b/tests/adapter/test_documents_properties.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Whatever a body holds: a value that keeps what its type promises, or one error.
+For any body, decoders return a valid value or raise `InvalidBodyError`.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 def _decoded(decode: Callable[[bytes], object], data: bytes) -> object | None:
     """
-    Return the value; none for the one error that is allowed.
+    Return the decoded value; None for an invalid body.
     """
     try:
         return decode(data)
@@ -91,7 +91,7 @@
 @given(_bodies(make_entry()))
 def test_an_entry_is_one_that_can_be_used(data):
     """
-    Its address can be connected to, and its slots can be divided by.
+    It has a host, a valid port and at least one slot.
     """
     entry = _decoded(lambda data: decode_engine_entry("engine-a", data), data)
     if entry is None:
@@ -112,7 +112,7 @@
 @given(st.text(max_size=6))
 def test_any_key_names_an_engine_or_none(key):
     """
-    One that it names can be told so in a header.
+    The id of a decoded entry is a valid header value.
     """
     data = as_bytes(make_entry())
     entry = _decoded(lambda data: decode_engine_entry(key, data), data)
@@ -124,7 +124,7 @@
 @given(_bodies(make_report()))
 def test_a_report_is_one_that_an_order_can_count_on(data):
     """
-    Versions, and orders taken, are whole numbers.
+    Versions and the number of accepted orders are non-negative integers.
     """
     report = _decoded(decode_engine_state, data)
     if report is None:
@@ -140,7 +140,7 @@
 @given(_bodies(_NAMED))
 def test_a_named_version_is_a_number_of_a_model(data):
     """
-    It is compared with those of engines.
+    The version can be compared with those of engines.
     """
     named = _decoded(decode_named_version, data)
     if named is not None:
@@ -153,7 +153,7 @@
 @given(_bodies(make_config()))
 def test_a_configuration_is_one_that_routes_can_be_found_in(data):
     """
-    Times are finite, and each route leads to a service.
+    Times are finite, and each route has a service.
     """
     config = _decoded(decode_config, data)
     if config is None:
@@ -179,7 +179,7 @@
 @given(_bodies(make_job(2)))
 def test_a_job_is_one_that_the_log_can_hold(data):
     """
-    What a node takes, each node can read again as it was.
+    A decoded job survives encoding to the log and back.
     """
     job = _decoded(lambda data: decode_job("job-a", "host", "/train/x", data), data)
     if job is None:
@@ -200,7 +200,7 @@
 @given(st.lists(json_values() | st.binary(max_size=8), max_size=4))
 def test_any_rows_leave_the_newest_values_readable(rows):
     """
-    The good row among them is always there.
+    The valid row among them is always returned.
     """
     good = make_row("good", as_bytes(make_entry()), 1)
     registry = StoreRegistry(
@@ -215,7 +215,7 @@
 @given(st.lists(st.binary(max_size=12), max_size=4))
 def test_any_records_leave_the_changes_readable(records):
     """
-    The good record behind them is always there, at its own offset.
+    The valid record after them is always returned, at its own offset.
     """
     good = make_record(b"good", as_bytes(make_entry()))
     registry = StoreRegistry(
--- a/tests/adapter/test_edge_crashing_requests.py
+++ b/tests/adapter/test_edge_crashing_requests.py
@@ -1,14 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests that end each engine which runs them, sent again at every edge.
-
-Guests saw a service refuse a tenth of their look-ups for seconds at a time. A request
-under whose run three instances had ended was sent on four times more and ended ten in
-all, each at a VM that had never seen it before: a VM kept a failure against the engine,
-for 2 s, and nothing against the request. The logs of all VMs show attempts at a live
-instance that end by a closed connection, and at that instance refused connections from
-the same moment on; the operator's log shows it start again seconds later.
+Poison requests: requests that crash each engine that runs them, sent to every edge.
+
+Guards against one such request crashing a service's engines again and again because
+each edge learns about it only from its own attempts.
 """
 
 from __future__ import annotations
@@ -29,11 +25,11 @@
 from standin_engine import CRASHING
 
 
-#: How long an instance is down, in seconds.
+#: Downtime of a crashed engine, in seconds.
 _DOWN = 0.4
-#: After the third end, sends later than this count, in seconds; the platform allows 3.
+#: Time after the third crash from which further runs count as late, in seconds.
 _KNOWN_WITHIN = 1.5
-#: Sends that may come later all the same, a count.
+#: Maximum number of late runs.
 _MORE = 3
 _SERVICE = [f"desk-{index}" for index in range(4)]
 _CRASH = CRASHING.decode()
@@ -42,7 +38,7 @@
 @pytest.fixture
 def crash_bed(tmp_path):
     """
-    Three edges, three model engines and four instances of a service that start again.
+    Three edges, three model engines and four service instances that are restarted.
     """
     with PlatformBed.open(tmp_path, edges=3, engines=3) as bed:
         bed.start_engine("desk-2", "desk")
@@ -80,7 +76,7 @@
 
 def _crashing_runs(bed: PlatformBed, names: list[str]) -> list[float]:
     """
-    Return when engines began to run a request that ends them, in order.
+    Return the start times of runs of poison requests, in order.
     """
     lines = [
         json.loads(line)
@@ -98,7 +94,7 @@
 
 def _send_crashing(bed: PlatformBed, seconds: float, target: str = "/look/x") -> None:
     """
-    Send the same request at the edges in turn, each time as a new attempt.
+    Send a poison request to the edges in turn, each time with a new id.
     """
     ends_at = time.monotonic() + seconds
     number = 0
@@ -112,7 +108,7 @@
 
 def _send_others(bed: PlatformBed, seconds: float) -> list[Answer]:
     """
-    Send other requests under the same path meanwhile, each with a body of its own.
+    Send other requests with the same path, each with a different body.
     """
     answers = []
     ends_at = time.monotonic() + seconds
@@ -128,7 +124,7 @@
 @pytest.mark.parametrize("target", ["/look/x", "/book/x"])
 def test_a_request_that_ends_engines_is_kept_from_them(crash_bed, target):
     """
-    At every edge, soon after its third engine; others under its path are served.
+    Every edge quarantines it soon after the third crash; others are still served.
     """
     _send_crashing(crash_bed, 4.0, target)
     with ThreadPoolExecutor(1) as pool:
@@ -143,7 +139,7 @@
 
 def test_an_item_that_ends_engines_is_kept_from_them(crash_bed):
     """
-    And the other items of its job come to their end.
+    The other items of its job are completed.
     """
     job = make_job()
     body = base64.b64encode(CRASHING).decode()
@@ -163,7 +159,7 @@
 
 def test_a_scoring_call_that_ends_engines_is_kept_from_them(crash_bed):
     """
-    Its item waits for its mark, and the other items of the job come to their end.
+    Its item stays without a score; the other items of the job are completed.
     """
     job = make_job()
     job["requests"][0]["scorer"]["body"] = base64.b64encode(CRASHING).decode()
@@ -178,7 +174,7 @@
 
 def test_it_is_kept_from_engines_after_the_loss_of_all_edges(crash_bed):
     """
-    What is known of it outlives every process.
+    The quarantine survives a restart of all edges.
     """
     _send_crashing(crash_bed, 4.0)
     before = len(_crashing_runs(crash_bed, _SERVICE))
@@ -195,7 +191,7 @@
 
 def test_it_is_kept_from_engines_while_the_store_is_silent(crash_bed):
     """
-    By every edge that knew of it before.
+    Edges that knew of it before the outage keep it quarantined.
     """
     _send_crashing(crash_bed, 4.0)
     before = len(_crashing_runs(crash_bed, _SERVICE))
@@ -207,7 +203,7 @@
 
 def test_an_edge_that_stood_still_asks_before_it_sends(crash_bed):
     """
-    All three engines ended while it was stopped; its first decision knows of them.
+    The crashes happened during its pause; it reads them before it forwards a request.
     """
     crash_bed.signal("edge-2", signal.SIGSTOP)
     ends_at = time.monotonic() + 4.0
@@ -233,7 +229,7 @@
 
 def test_a_request_that_was_only_there_is_served(crash_bed):
     """
-    Though it comes again each time that an instance ends, it is never called a cause.
+    Running at an engine that crashes for another reason must not quarantine a request.
     """
     for name in _SERVICE:
         crash_bed.fake_engine(name, delay=0.1)
@@ -252,7 +248,7 @@
 
 def _send_steady(bed: PlatformBed, seconds: float, edge: str) -> list[Answer]:
     """
-    Send one request again and again, which harms nobody.
+    Send the same harmless request repeatedly.
     """
     answers = []
     ends_at = time.monotonic() + seconds
@@ -264,7 +260,7 @@
 
 def test_what_was_seen_without_the_store_is_told_once_it_is_back(crash_bed):
     """
-    Each edge bars what it has seen itself meanwhile.
+    During the outage each edge quarantines by what it has seen itself.
     """
     crash_bed.fake_store(mode="busy")
     _send_crashing(crash_bed, 5.0)
--- a/tests/adapter/test_edge_items.py
+++ b/tests/adapter/test_edge_items.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Items of jobs at engines that break off, fall silent, are slow, or fail.
+Items of jobs at engines whose streams break, stall, are slow, or fail.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 def test_a_text_larger_than_a_record_of_the_store_is_listed_whole(two_edges):
     """
-    And read whole at an edge that did not make it.
+    The other edge reads it completely as well.
     """
     for engine in ("engine-0", "engine-1"):
         two_edges.fake_engine(engine, events=400, pace=0.001)
@@ -25,7 +25,7 @@
 
 def test_a_stream_cut_within_an_event_goes_on_after_the_last_whole_one(platform_bed):
     """
-    At another engine, and the text has no gap, no repeat and no half event.
+    It resumes at another engine; the text has no gap, duplicate or partial event.
     """
     platform_bed.fake_engine("engine-0", cut_after=2)
     assert platform_bed.submit("job-1", make_job()).status == 202
@@ -37,7 +37,7 @@
 
 def test_an_item_leaves_an_engine_that_falls_silent(platform_bed):
     """
-    Well before the silence counts as a broken stream, and goes on where it was.
+    It moves well before the stream's timeout and resumes after the last event.
     """
     platform_bed.fake_engine("engine-0", hang_after=2)
     began = time.monotonic()
@@ -50,7 +50,7 @@
 
 def test_an_item_comes_to_its_end_at_engines_slower_than_expected(platform_bed):
     """
-    It does not move to and fro between them for ever.
+    It must not move back and forth between them.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, pace=0.8)
@@ -60,7 +60,7 @@
 
 def test_a_stream_without_its_end_marker_is_not_taken_as_whole(platform_bed):
     """
-    All events came, the end did not: nothing is listed until an engine ends it well.
+    Without the end marker an item has no result until an engine completes the stream.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, no_end=True)
@@ -74,7 +74,7 @@
 
 def test_an_item_that_always_fails_is_given_up_after_its_attempts(platform_bed):
     """
-    Listed as given up, after no more runs than the route allows.
+    Its result is a failure after the route's maximum number of attempts.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, fail=500)
@@ -86,7 +86,7 @@
 
 def test_an_item_that_can_never_be_done_is_given_up_at_once(platform_bed):
     """
-    One answer of 422 is enough.
+    A single response with status 422 is final.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, fail=422)
@@ -97,7 +97,7 @@
 
 def test_items_go_to_no_service_that_their_route_gives_nothing(platform_bed):
     """
-    Also where such a service stands first in the split.
+    A service with weight 0 gets no item, even if it is listed first.
     """
     config = make_config(2)
     del config["routes"][2]["service"]
--- a/tests/adapter/test_edge_jobs.py
+++ b/tests/adapter/test_edge_jobs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Batch jobs through the edge program, with stores, engines and edges that fail.
+Batch jobs with failures of the store, engines and edges.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 def test_a_job_is_run_scored_and_read_at_any_edge(two_edges):
     """
-    Whole texts, true versions, the scorer's mark; the same positions at every edge.
+    Texts, versions and scores are complete, and positions are equal at every edge.
     """
     assert two_edges.submit("job-1", make_job()).status == 202
     results = two_edges.finished("job-1", ITEMS)
@@ -33,7 +33,7 @@
 
 def test_an_unknown_job_is_404_and_503_while_the_store_is_away(platform_bed):
     """
-    A node that cannot be sure does not say that there is none.
+    An edge that cannot read the log must not answer that the job does not exist.
     """
     assert platform_bed.ask("GET", "/v1/lots/none").status == 404
     platform_bed.fake_store(mode="busy")
@@ -44,7 +44,7 @@
 
 def test_a_job_submitted_again_is_taken_once(two_edges):
     """
-    At whichever edge: accepted again, and its items run once.
+    Any edge accepts it again, and its items run once.
     """
     job = make_job()
     for edge in ("edge-0", "edge-1", "edge-0"):
@@ -56,7 +56,7 @@
 
 def test_an_accept_whose_answer_was_lost_is_taken_once(platform_bed):
     """
-    Done without an answer, and not done without an answer.
+    Both if the append was carried out and if it was not.
     """
     platform_bed.fake_store(lose_done=1)
     assert platform_bed.submit("job-1", make_job()).status == 202
@@ -68,7 +68,7 @@
 
 def test_a_job_that_may_come_into_the_log_later_is_not_called_not_run(platform_bed):
     """
-    No 429 and no 503 while the record that opens it may still come, without an answer.
+    Neither 429 nor 503 while an unanswered append may still take effect.
     """
     platform_bed.fake_store(lose_undone=1000, late_by=2.5, lose_in="jobs")
     assert platform_bed.submit("job-1", make_job()).status == 502
@@ -78,7 +78,7 @@
 
 def test_a_job_whose_items_may_come_into_the_log_later_is_refused(platform_bed):
     """
-    They never run by themselves, so the refusal may promise it.
+    Items without the job's own record never run, so a refusal is safe.
     """
     platform_bed.fake_store(lose_undone=1000, late_by=2.5)
     assert platform_bed.submit("job-1", make_job()).status == 503
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("appends", [1, 2, 3])
 def test_a_job_of_several_appends_is_taken_whole_or_not_at_all(platform_bed, appends):
     """
-    The store turns busy between two of them: refused, and nothing of it ever runs.
+    The store becomes busy between two appends: the job is refused, and no item runs.
     """
     job = make_job(60)
     platform_bed.fake_store(busy_after=appends)
@@ -107,7 +107,7 @@
 
 def test_a_job_refused_while_the_store_is_busy_never_runs(platform_bed):
     """
-    The store vouches that nothing was done, so the refusal may promise it.
+    The store guarantees that nothing was appended, so a refusal is safe.
     """
     platform_bed.fake_store(mode="busy")
     answer = platform_bed.submit("job-1", make_job())
@@ -121,7 +121,7 @@
 
 def test_an_accepted_job_outlives_the_death_of_every_edge(two_edges):
     """
-    All are killed right after the accept; what starts again takes the job up.
+    All are killed right after accepting it; a restarted edge runs it.
     """
     assert two_edges.submit("job-1", make_job()).status == 202
     for edge in ("edge-0", "edge-1"):
@@ -135,7 +135,8 @@
 
 def test_an_edge_that_starts_anew_reads_no_texts(platform_bed):
     """
-    Only where they are, so that all edges can start at once; readers get them then.
+    It reads only their positions, so that all edges can start at once; texts are read
+    on request.
     """
     assert platform_bed.submit("job-1", make_job()).status == 202
     results = platform_bed.finished("job-1", ITEMS)
@@ -151,9 +152,9 @@
 
 def test_two_edges_that_both_run_an_item_list_it_once(two_edges):
     """
-    One freezes, another takes over, and the first one wakes in the middle of its work.
+    One is paused, another takes over, and the first one resumes within its run.
 
-    The log's order decides; positions are the same at both, whoever wrote first.
+    The log's order decides, so positions are the same at both.
     """
     for engine in ("engine-0", "engine-1"):
         two_edges.fake_engine(engine, pace=0.6)
@@ -174,7 +175,7 @@
 
 def test_nothing_of_an_ended_job_runs(two_edges):
     """
-    Running items stop, waiting ones never start, and what was listed stays.
+    Running items stop, waiting ones never start, and earlier results stay.
     """
     for engine in ("engine-0", "engine-1"):
         two_edges.fake_engine(engine, pace=0.2)
@@ -192,8 +193,8 @@
 
 def test_an_edge_that_reads_the_log_anew_runs_nothing_of_an_ended_job(platform_bed):
     """
-    It reads the job, and its end only in a later page: nothing starts in between,
-    though the job's items are there and its share is held by then.
+    It reads the job's end in a later page than the job: nothing starts in between,
+    although the items are loaded and the share is held.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, pace=0.2)
@@ -217,7 +218,7 @@
 
 def test_nothing_starts_after_a_long_silence_of_the_store(platform_bed):
     """
-    The job may have ended meanwhile; what waited starts once the log's end is known.
+    The job may have ended during the outage; items start once the log is read again.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, fail=503)
@@ -234,7 +235,7 @@
 
 def test_the_body_of_an_item_that_is_not_listed_can_be_read(two_edges):
     """
-    At any edge; an unknown item has none.
+    At any edge; an unknown item is not found.
     """
     for engine in ("engine-0", "engine-1"):
         two_edges.fake_engine(engine, pace=0.5)
@@ -246,7 +247,7 @@
 
 def test_a_job_with_a_broken_item_is_refused_whole(platform_bed):
     """
-    The answer names the place, and no item of it runs.
+    The answer names the location, and no item runs.
     """
     job = make_job()
     del job["requests"][3]["id"]
@@ -259,7 +260,7 @@
 
 def test_reading_while_results_come_waits_for_the_next(platform_bed):
     """
-    A reader at the end is held until a result exists.
+    A read at the last position waits until there is a further result.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, pace=0.1)
--- a/tests/adapter/test_edge_keys.py
+++ b/tests/adapter/test_edge_keys.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Callers by key through the edge program: engines see workspaces, and never a key.
+Callers' keys: engines get the workspace's name and never the key.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 def test_an_engine_is_shown_the_workspace_in_place_of_the_key(keyed):
     """
-    Whatever the caller wrote into the workspace's header.
+    A workspace header sent by the caller is replaced.
     """
     headers = {**_key("red-2"), "Saddledoor_Tenant": "blue"}
     assert keyed.ask("POST", "/look/x", b"b", "r-1", **headers).status == 200
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("path", ["/look/x", "/train/x", "/v1/lots/j", "/v1/items/j"])
 def test_without_a_known_key_nothing_runs(keyed, headers, path):
     """
-    401 at once, for plain requests and for calls about jobs alike.
+    The status is 401, both for plain requests and for calls about jobs.
     """
     method = "GET" if path.startswith("/v1/") else "POST"
     answer = keyed.ask(method, path, b"x" * 20_000, "r-1", **headers)
@@ -76,7 +76,7 @@
 
 def test_a_route_may_go_without_a_key(keyed):
     """
-    Then no workspace is named, unless the key is known.
+    The request then has no workspace, unless its key is known.
     """
     _put(keyed, _config(3, _RED, exempt="look-up"))
     for key in ("", "nobody", "red-1"):
@@ -89,7 +89,7 @@
 
 def test_a_key_that_is_taken_away_is_refused_and_a_new_one_taken(keyed):
     """
-    Also on an edge that has served it.
+    Also at an edge that has accepted it before.
     """
     assert keyed.ask("POST", "/look/x", b"b", "r-1", **_key("red-1")).status == 200
     _put(keyed, _config(3, {**_RED, "api_keys": ["red-2", "red-3"]}))
@@ -99,7 +99,7 @@
 
 def test_an_edge_without_the_store_calls_no_key_unknown(keyed):
     """
-    Others may know it by now: 503 sends the caller on. Keys that it knows are served.
+    Others may know the key, so the status is 503. Keys known to the edge are accepted.
     """
     keyed.fake_store(mode="busy")
     until(lambda: keyed.ask("POST", "/look/x", b"b", "r-1", **_key("x")).status == 503)
@@ -111,7 +111,7 @@
 
 def test_a_strict_edge_without_the_store_serves_no_key_for_long(tmp_path):
     """
-    It may have been taken away meanwhile.
+    The key may have been revoked since.
     """
     with PlatformBed.open(tmp_path) as bed:
         strict = "config_apply_ms = 2000\nrevoke_strict = true\nrevoke_ms = 1500"
@@ -129,7 +129,7 @@
 
 def test_a_jobs_items_run_for_its_workspace(keyed):
     """
-    Also if an item brings headers of its own; the scoring call belongs to nobody.
+    Also if an item has such headers of its own; scoring calls have no workspace.
     """
     job = make_job(2)
     for item in job["requests"]:
@@ -142,7 +142,7 @@
 
 def test_a_job_is_unknown_to_other_workspaces(keyed):
     """
-    They read, end and submit nothing under its id, and its own key still does.
+    Other workspaces cannot read, end or submit a job under its id; its own key can.
     """
     keyed.submit("job-1", make_job(2), **_key("red-1"))
     keyed.finished("job-1", 2, **_key("red-1"))
@@ -161,7 +161,7 @@
 
 def test_taking_a_key_away_ends_no_job(tmp_path):
     """
-    Its items go on at whichever edge runs them, under the workspace's name.
+    Its items continue at whichever edge runs them, for the same workspace.
     """
     with PlatformBed.open(tmp_path, edges=2) as bed:
         _put(bed, _config(2, _RED))
@@ -180,7 +180,7 @@
 
 def test_no_key_stands_in_a_log(keyed):
     """
-    Neither one that is served nor one that is refused.
+    Neither an accepted nor a refused one.
     """
     with ThreadPoolExecutor(4) as pool:
         keys = ["red-1", "no-such-key", "blue-1", "red-2"]
@@ -206,7 +206,7 @@
 )
 def test_unusable_workspaces_are_refused_with_their_place(tenants, place):
     """
-    Nothing of the configuration is taken then, and no message holds a key.
+    The whole configuration is rejected, and the message contains no key.
     """
     data = json.dumps(make_config(2, tenants=tenants)).encode()
     with pytest.raises(InvalidBodyError, match=place) as caught:
@@ -216,7 +216,7 @@
 
 def test_a_route_goes_without_a_key_only_if_it_says_so_clearly():
     """
-    Anything but true or false refuses the configuration.
+    Any other value than true or false rejects the configuration.
     """
     config = _config(2, _RED)
     config["routes"][1]["auth_exempt"] = "false"
@@ -226,7 +226,7 @@
 
 def test_a_configuration_that_is_refused_leaves_the_one_in_force(keyed):
     """
-    Its keys go on being served, and the log says once why.
+    Its keys are still accepted, and the reason is logged once.
     """
     keyed.configure(_config(3, _RED, {**_BLUE, "api_keys": ["red-1"]}))
     until(lambda: keyed.skipped_records("edge-0")["operator"] == 1)
--- a/tests/adapter/test_edge_requests.py
+++ b/tests/adapter/test_edge_requests.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests through the edge program, with engines that fail in their ways.
+Forwarded requests, with engines that fail in various ways.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 def test_a_request_reaches_the_engine_unchanged(platform_bed):
     """
-    Method, path, query and body go on as sent; status, body and mark come back.
+    Method, path, query and body are forwarded; status, body and signature come back.
     """
     answer = platform_bed.ask("PUT", "/look/a%20b//c?x=1&y=%2F", b"\x00body", "r-1")
     assert answer.status == 200
@@ -29,7 +29,7 @@
 
 def test_an_answer_to_head_has_no_body_and_is_whole(platform_bed):
     """
-    It needs no length to be complete.
+    It is complete without a length.
     """
     answer = platform_bed.ask("HEAD", "/look/x", request_id="r-1")
     assert (answer.status, answer.body) == (200, b"")
@@ -48,7 +48,7 @@
 
 def test_an_extra_answer_reaches_nobody(platform_bed):
     """
-    Bytes behind a whole answer belong to no request.
+    Bytes after a complete answer belong to no request.
     """
     for name in ("desk-0", "desk-1"):
         platform_bed.fake_engine(name, extra=True)
@@ -59,10 +59,10 @@
 
 def test_the_answer_of_another_request_is_not_passed_on(platform_bed):
     """
-    A wrong id in the answer means that this request has none yet.
+    An answer with another id does not count as this request's answer.
     """
     platform_bed.fake_engine("desk-0", wrong_id=True)
-    # The engine is drawn: one in 4,096 runs would not ask the broken one.
+    # Engines are chosen at random; 12 requests make use of the faulty one near certain.
     for index in range(12):
         answer = platform_bed.ask("POST", "/look/x", b"b", f"r-{index}")
         assert (answer.status, answer.body) == (200, f"answer to r-{index}".encode())
@@ -70,7 +70,8 @@
 
 def test_an_unrepeatable_request_runs_once_and_is_not_called_not_run(platform_bed):
     """
-    After a foreign answer the request may have run: neither repeated nor promised.
+    After another request's answer it may have run: it is not retried, and the result
+    does not claim that it did not run.
     """
     for name in ("desk-0", "desk-1"):
         platform_bed.fake_engine(name, wrong_id=True)
@@ -81,7 +82,7 @@
 
 def test_an_unrepeatable_request_without_an_answer_is_not_called_not_run(platform_bed):
     """
-    Its time passes while an engine works on it: it has run, so no 503 and no 429.
+    Its timeout passes while an engine runs it, so the status is neither 503 nor 429.
     """
     for name in ("desk-0", "desk-1"):
         platform_bed.fake_engine(name, delay=5.0)
@@ -95,7 +96,7 @@
 
 def test_a_success_without_the_engine_s_signature_is_not_passed_on(platform_bed):
     """
-    It is no answer of an engine: another one is asked, or the caller gets 502.
+    Another engine is tried, or the caller gets 502.
     """
     platform_bed.fake_engine("desk-0", unsigned=True)
     for index in range(12):
@@ -107,7 +108,7 @@
 
 def test_a_slow_engine_does_not_make_a_repeatable_request_late(platform_bed):
     """
-    After half of the objective a second engine works beside the first.
+    After half of the objective a second engine runs it as well.
     """
     platform_bed.fake_engine("desk-0", delay=1.5)
     for index in range(12):
@@ -119,7 +120,7 @@
 
 def test_an_engine_that_refuses_is_not_an_attempt_that_ran(platform_bed):
     """
-    If every engine vouches that it did not start, the caller is told when to return.
+    If every engine guarantees that it did not run it, the answer has ``Retry-After``.
     """
     for name in ("desk-0", "desk-1"):
         platform_bed.fake_engine(name, fail=503)
@@ -133,7 +134,7 @@
 
 def test_a_failure_of_the_engine_is_passed_on_for_an_unrepeatable_request(platform_bed):
     """
-    Its own status comes back, and it is not tried again.
+    The engine's status is returned, and the request is not retried.
     """
     for name in ("desk-0", "desk-1"):
         platform_bed.fake_engine(name, fail=500)
@@ -143,7 +144,7 @@
 
 def test_an_engine_stops_when_the_caller_leaves(platform_bed):
     """
-    Well before its work is done.
+    The engine's run is cancelled well before its end.
     """
     for name in ("desk-0", "desk-1"):
         platform_bed.fake_engine(name, delay=5.0)
@@ -158,7 +159,7 @@
 
 def test_an_address_that_comes_back_as_another_service_runs_nothing(platform_bed):
     """
-    The request names the incarnation it is meant for; the other one refuses it.
+    The request names its incarnation; another one refuses it.
     """
     platform_bed.put_entry("desk-gone", "desk", platform_bed.engine_ports["engine-0"])
     for index in range(8):
@@ -168,7 +169,7 @@
 
 def test_a_leaving_engine_gets_nothing_more(platform_bed):
     """
-    Neither one that says that it drains nor one whose entry is gone.
+    Neither an engine that is draining nor one whose entry was removed.
     """
     port = platform_bed.engine_ports["desk-0"]
     platform_bed.put_entry("desk-0", "desk", port, state="draining")
@@ -184,8 +185,8 @@
 
 def test_entries_that_lapse_with_the_store_are_bridged(platform_bed):
     """
-    Around an outage an engine without an entry is used until it would have written it
-    again, some two seconds after the store's return; then it is dropped.
+    After an outage an engine without an entry stays in use until it should have written
+    a new one; then it is dropped.
     """
     platform_bed.fake_store(mode="busy")
     until(lambda: _logged(platform_bed, "store_lost"))
@@ -202,7 +203,7 @@
 
 def test_an_edge_is_ready_only_once_it_knows_the_engines(platform_bed):
     """
-    Its first callers would be refused otherwise.
+    Otherwise its first requests would be refused.
     """
     platform_bed.fake_store(slow_entries=0.4)
     platform_bed.start_edge("edge-1")
@@ -213,7 +214,7 @@
 
 def test_an_edge_without_an_answer_of_the_store_asks_for_no_callers(platform_bed):
     """
-    Soon, since trainers wait at its door; and it is ready again once the store answers.
+    It becomes not ready soon, and ready again once the store answers.
     """
     platform_bed.fake_store(mode="silent")
     until(lambda: not platform_bed.ready("edge-0"), 1.3)
@@ -226,7 +227,7 @@
 
 def test_the_configuration_never_goes_back(platform_bed):
     """
-    An older record that comes later, and a history that is forgotten, change nothing.
+    Neither a later record with an older version nor a truncated log changes it.
     """
     config = make_config(5)
     config["routes"] = config["routes"][:1]
@@ -240,7 +241,7 @@
 
 def test_a_broken_record_in_the_store_is_skipped_with_a_line(platform_bed):
     """
-    The configuration in force stays, and the log names the place.
+    The configuration in force stays, and the log line names the location.
     """
     platform_bed.put("keyed.op", "config", '{"version": 9, "routes": [{}]}')
     platform_bed.put("keyed.servers", "odd", '{"service": 1}')
@@ -252,7 +253,7 @@
 
 def test_records_that_cannot_be_used_are_counted(platform_bed):
     """
-    By what they hold, so that faults of ours stand out.
+    Counted by the kind of their content.
     """
     kinds = ("operator", "engines", "leases", "jobs", "texts", "items")
     none = dict.fromkeys(kinds, 0)
@@ -265,7 +266,7 @@
 
 def test_an_engine_whose_entry_was_overwritten_gets_nothing_more(platform_bed):
     """
-    The others of its service answer.
+    The other engines of its service stay in use.
     """
     platform_bed.put("keyed.servers", "desk-1", "overwritten")
     until(lambda: _logged(platform_bed, "record_skipped"))
@@ -276,7 +277,7 @@
 
 def test_a_body_over_the_limit_is_refused(platform_bed):
     """
-    With 413, and no engine sees it.
+    The status is 413, and no engine gets it.
     """
     assert platform_bed.ask("POST", "/look/x", b"b" * 100_001, "r-1").status == 413
     assert platform_bed.runs() == []
@@ -284,7 +285,7 @@
 
 def test_requests_are_answered_while_the_store_is_away(platform_bed):
     """
-    Routes and engines known before stay in use.
+    Routes and engines known before the outage stay in use.
     """
     platform_bed.fake_store(mode="silent")
     for index in range(4):
@@ -293,7 +294,8 @@
 
 def test_a_planned_stop_answers_everyone(two_edges):
     """
-    Not ready at once, answers what comes, says that the connection ends, exits 0.
+    It is not ready at once, answers further requests, closes connections, and exits
+    with status 0.
     """
     for name in ("desk-0", "desk-1"):
         two_edges.fake_engine(name, delay=1.0)
@@ -302,7 +304,7 @@
             pool.submit(two_edges.ask, "POST", "/look/x", b"b", f"r-{index}")
             for index in range(4)
         ]
-        # A second engine joins each of them after 0.1 s.
+        # Each of them runs at a second engine as well after 0.1 s.
         until(lambda: len({run["request_id"] for run in two_edges.runs()}) == 4)
         two_edges.signal("edge-0", 15)
         until(lambda: not two_edges.ready("edge-0"), 1.0)
--- a/tests/adapter/test_edge_restarts.py
+++ b/tests/adapter/test_edge_restarts.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Engines that start again under their id, and entries that nobody can use, at the edge
-program.
+Engines that restart under the same id, and invalid registry entries.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 def _start_again(bed: PlatformBed, engine: str) -> None:
     """
-    Have an engine crash and start again at once: it holds version 1 and no orders.
+    Crash and restart an engine, which then has version 1 and no accepted orders.
     """
     bed.signal(engine, signal.SIGKILL)
     bed.wait_end(engine)
@@ -33,7 +32,7 @@
 
 def test_an_engine_that_starts_again_gets_the_weights_that_jobs_need(platform_bed):
     """
-    By an order that counts from its new start; its entry never went.
+    Its order uses the new process's order count; its entry was never removed.
     """
     platform_bed.name_version(2)
     _needs(platform_bed, 2, "job-1")
@@ -52,7 +51,7 @@
 
 def test_texts_that_an_engine_had_begun_become_whole_after_its_crash(platform_bed):
     """
-    Also when all engines start again, one after the other.
+    Also if all engines restart, one after the other.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, pace=0.2, events=10)
@@ -75,7 +74,7 @@
 )
 def test_an_entry_that_cannot_be_used_stops_nobody(platform_bed, value):
     """
-    The other engines hold, and an edge that starts later reads on as well.
+    Other engines stay in use, also at an edge that starts later.
     """
     platform_bed.put("keyed.servers", "other", value)
     platform_bed.remove_entry("gone")
--- a/tests/adapter/test_edge_settings.py
+++ b/tests/adapter/test_edge_settings.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A settings file that changes while its edge is at work.
+Reloading of an edge's settings file at run time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("told", [True, False], ids=["by a signal", "without one"])
 def test_a_changed_file_is_taken_while_texts_are_made(platform_bed, told):
     """
-    Nothing is made twice, and the metrics tell which file is in force.
+    No item runs twice, and the metrics show the version in force.
     """
     bed = platform_bed
     for engine in ("engine-0", "engine-1"):
@@ -53,8 +53,8 @@
     platform_bed, before, after, said
 ):
     """
-    The line names the field; the edge goes on with what it has, and takes the next
-    file that can be used.
+    The line names the field; the settings in force stay, and the next valid file is
+    applied.
     """
     bed = platform_bed
     version = bed.settings_in_force("edge-0")
--- a/tests/adapter/test_edge_stops.py
+++ b/tests/adapter/test_edge_stops.py
@@ -1,11 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-A planned stop of an edge that gets no processor just when it would end.
+A planned stop of an edge whose process is paused just before it would exit.
 
-Whoever came meanwhile is read: an edge that had nothing in flight when it went on
-closed its listener before it had looked at what waited there, and callers whose
-requests had been there for tenths of a second got no answer.
+Guards against an exit that resets connections which arrived during the pause.
 """
 
 from __future__ import annotations
@@ -19,8 +17,8 @@
 from platform_documents import HOST
 
 
-#: How long a stopping edge takes callers at least, in seconds; a standstill begins
-#: shortly before that time is over.
+#: Minimum time for which a stopping edge accepts requests, in seconds; the pause begins
+#: shortly before its end.
 _TAKES_CALLERS = 3.5
 _REQUEST = (
     f"POST /look/x HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -45,7 +43,7 @@
     platform_bed, frozen, kept
 ):
     """
-    Over a connection that was there before, or one that it has yet to accept.
+    Over an open connection and over one that is not yet accepted.
     """
     connection = _connect(platform_bed) if kept else None
     time.sleep(0.1)
--- a/tests/adapter/test_edge_usage.py
+++ b/tests/adapter/test_edge_usage.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Usage reports of real edges: one report a window, by one holder, with true counts.
+Usage reports of edges: one report per window, from one lease holder, with exact counts.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 @pytest.fixture
 def bed(tmp_path):
     """
-    Three edges that report usage; windows of 1 s, decided 2 s after their end.
+    Three edges that report usage in windows of 1 s, decided 2 s after their end.
     """
     with PlatformBed.open(tmp_path, edges=3, duties=True) as bed:
         bed.configure(make_config(2, tenants=_TENANTS))
@@ -44,7 +44,7 @@
 
 def _ask_all(bed: PlatformBed, count: int = 12) -> Counter:
     """
-    Have requests begun by all edges, and return how many by workspace.
+    Send requests to all edges; return their numbers by workspace.
     """
     edges = [name for name in bed.front_ports if bed.is_running(name)]
     for index in range(count):
@@ -55,7 +55,7 @@
 
 def _reported(bed: PlatformBed, since: float) -> Counter:
     """
-    Return what the windows that ended after a time have, by workspace.
+    Return the reported counts of the windows that ended after a time, by workspace.
     """
     windows = {
         report["window_no"]: report["counts"]
@@ -70,8 +70,7 @@
 
 def _check_calls(bed: PlatformBed) -> None:
     """
-    Check what the platform holds against: no window has two reports that differ, no
-    fence two holders.
+    Check that no window has two different reports and no fencing number two holders.
     """
     calls = bed.fake_duties()["calls"]
     counts: dict[int, dict] = {}
@@ -87,7 +86,7 @@
 
 def test_each_window_has_one_report_of_what_engines_began(bed):
     """
-    Of requests at every edge; items, scoring calls and refusals stand outside.
+    It counts requests at all edges, but no items, scoring calls or refusals.
     """
     since = time.time()
     key = {"Saddledoor_Key": "red-1"}
@@ -109,7 +108,7 @@
 @pytest.mark.parametrize("fault", ["lose", "late"])
 def test_a_call_without_an_answer_is_repeated_as_it_was(bed, fault):
     """
-    It may have been carried out, or may be later.
+    Its outcome is unknown: it may have been carried out, or may be later.
     """
     since = time.time()
     bed.fake_duties(**{fault: 2})
@@ -122,7 +121,7 @@
 
 def test_the_next_holder_goes_on_where_a_killed_one_was(bed):
     """
-    Killed between its decision and the platform's answer, which never came.
+    The holder is killed after its decision, before the platform answers.
     """
     since = time.time()
     asked = _ask_all(bed)
@@ -144,7 +143,7 @@
 
 def test_a_frozen_holder_says_nothing_once_another_has_the_duty(bed):
     """
-    Not even what it had decided before: its term is over.
+    This includes reports that it decided on before: its lease has expired.
     """
     since = time.time()
     until(lambda: _calls_since(bed, since))
@@ -162,7 +161,7 @@
 
 def test_a_planned_stop_leaves_counts_and_duty_to_the_others(bed):
     """
-    The others report what the stopping edge begins to its end, and take the duty
+    The others report the stopping edge's requests up to its end, and acquire the lease
     without waiting for its term of 1 s.
     """
     since = time.time()
@@ -196,7 +195,7 @@
 
 def test_without_the_platforms_interface_nobody_counts_or_takes_the_duty(tmp_path):
     """
-    Deployments without it pay nothing for it.
+    Usage is neither counted nor reported, and no lease is acquired.
     """
     with PlatformBed.open(tmp_path) as bed:
         bed.configure(make_config(2, tenants=_TENANTS))
--- a/tests/adapter/test_edge_weights.py
+++ b/tests/adapter/test_edge_weights.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Weights, orders and the handing over of texts through the edge program.
+Weight versions, orders and the handover of texts between edges.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 def _bring(bed, version: int, edge: str = "edge-0") -> None:
     """
-    Name a version and ask for nothing older, so that every engine has to follow.
+    Name a version, and submit a job that requires it, so that every engine loads it.
     """
     bed.name_version(version)
     job = make_job(0, min_version=version)
@@ -27,7 +27,7 @@
 
 def test_half_of_the_engines_follow_a_version_that_no_job_needs_yet(platform_bed):
     """
-    The other one goes on serving what the jobs still allow.
+    The other half keeps serving the older version that jobs still allow.
     """
     platform_bed.name_version(2)
     engines = ("engine-0", "engine-1")
@@ -38,10 +38,10 @@
 
 def test_texts_say_which_weights_made_them(platform_bed):
     """
-    New weights within a run: both versions stand in the result.
+    If weights change during a run, the result lists both versions.
     """
-    # The two engines load one after the other, a second apart: after the first event
-    # and a second before the last of both.
+    # The engines load one after the other, a second apart; both loads fall between the
+    # first event and a second before the last.
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, pace=0.3, events=10)
     assert platform_bed.submit("job-1", make_job(2)).status == 202
@@ -55,7 +55,7 @@
 
 def test_no_token_is_older_than_the_job_allows(platform_bed):
     """
-    A job that needs version 2 waits until an engine reports it.
+    A job that requires version 2 waits until an engine reports it.
     """
     assert platform_bed.submit("job-1", make_job(2, min_version=2)).status == 202
     time.sleep(0.5)
@@ -67,7 +67,7 @@
 
 def test_an_order_carried_out_late_changes_nothing(platform_bed):
     """
-    A newer order has been taken meanwhile, so the engine refuses the late one.
+    The engine has accepted a newer order since, so it rejects the late one.
     """
     platform_bed.fake_engine("engine-0", late_orders=1)
     _bring(platform_bed, 2)
@@ -85,7 +85,7 @@
 
 def test_orders_come_from_one_holder_with_rising_fences(two_edges):
     """
-    After the holder's death the next one uses a higher fencing number.
+    After the holder's crash the next one uses a higher fencing number.
     """
     _bring(two_edges, 2)
     until(lambda: two_edges.fake_engine("engine-0")["version"] == 2)
@@ -96,7 +96,7 @@
     _bring(two_edges, 3, left)
     until(lambda: two_edges.fake_engine("engine-0")["version"] == 3)
     second = two_edges.fake_engine("engine-0")["orders"][-1]
-    # The term is 1 s, and was renewed a third of it before at the latest.
+    # The term is 1 s, renewed at least every third of it.
     taken = _lines(two_edges, left, "duty_taken")[-1]["timestamp"]
     waited = datetime.fromisoformat(taken) - killed
     assert waited.total_seconds() > 0.6
@@ -107,7 +107,7 @@
 
 def test_a_machine_that_comes_back_has_its_lease_at_once(long_lease):
     """
-    Not after the term of 8 s, as another machine would; and with a higher fence.
+    It need not wait for its own term of 8 s, and uses a higher fencing number.
     """
     until(lambda: _lines(long_lease, "edge-0", "duty_taken"))
     long_lease.signal("edge-0", signal.SIGKILL)
@@ -124,7 +124,7 @@
 
 def test_a_planned_stop_hands_the_texts_over(two_edges):
     """
-    The next owner goes on after the events that the stopping one has kept.
+    The next owner resumes after the events that the stopping one has persisted.
     """
     for engine in ("engine-0", "engine-1"):
         two_edges.fake_engine(engine, pace=0.4)
@@ -134,7 +134,7 @@
     owner = two_edges.owner()
     other = "edge-1" if owner == "edge-0" else "edge-0"
     two_edges.signal(owner, signal.SIGTERM)
-    # Long before the stopping one ends.
+    # Long before the stopping one exits.
     until(lambda: len(_resumed(two_edges)) == 2, 2.0)
     assert texts(two_edges.finished("job-1", 2, other)) == whole_texts(2)
     assert len(_resumed(two_edges)) == 2
@@ -143,7 +143,7 @@
 
 def test_a_planned_stop_while_the_store_is_away_loses_no_text(two_edges):
     """
-    The items run on until somebody can take them over.
+    The items keep running until another edge can take them over.
     """
     for engine in ("engine-0", "engine-1"):
         two_edges.fake_engine(engine, pace=0.4)
@@ -157,7 +157,7 @@
     assert all(run["ended"] == "running" for run in two_edges.runs())
     two_edges.fake_store(mode="ok")
     assert texts(two_edges.finished("job-1", 2, other)) == whole_texts(2)
-    # Nothing of it was made twice.
+    # No event was generated twice.
     items = [run for run in two_edges.runs() if run["request_id"].startswith("item")]
     assert sorted(run["resume_after"] for run in items)[:2] == [0, 0]
     assert all(run["resume_after"] >= 3 for run in items if run["resume_after"])
@@ -167,7 +167,7 @@
 
 def test_a_planned_stop_while_the_store_is_silent_ends_within_its_grace(platform_bed):
     """
-    Every call to the store then takes its whole time limit.
+    Every call to the store then runs into its timeout.
     """
     for engine in ("engine-0", "engine-1"):
         platform_bed.fake_engine(engine, pace=0.4)
--- a/tests/adapter/test_engine_gone.py
+++ b/tests/adapter/test_engine_gone.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
 
 """
-Whether an engine has ended, found out at its address.
+The check at an engine's address whether its process has exited.
 
-Requests that ended engines were sent on after a loss of all edges: the process of an
-engine closes its connections some ms before its listener, longer on a busy machine, and
-whoever asked in between took it to be there. Two of three ends were never told.
+Guards against missing a crash because an exiting process closes its connections before
+its listening socket.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
     serve: Callable[[asyncio.StreamWriter, asyncio.Server], Coroutine],
 ) -> bool:
     """
-    Ask at an address where each connection is served by a function.
+    Run the check against a server that handles each connection by a function.
     """
 
     async def play() -> bool:
@@ -49,7 +48,7 @@
 @pytest.mark.parametrize("seconds", [0.0, 0.1, 0.4])
 def test_an_engine_whose_process_is_about_to_end_is_gone(seconds):
     """
-    Its listener closes after the connections that broke off, and with the new one.
+    Its listening socket closes some time after its connections.
     """
 
     async def end_soon(writer, server):
@@ -62,7 +61,7 @@
 
 def test_an_engine_that_takes_a_connection_is_there():
     """
-    And one that closes each at once goes on to listen, so it is not certain.
+    A listening process that closes each connection at once counts as running, too.
     """
 
     async def hold(writer, _):
--- a/tests/adapter/test_engine_report.py
+++ b/tests/adapter/test_engine_report.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What an engine says of itself when asked, and what is no usable answer.
+Reading an engine's report, valid or not.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 def _ask(body: bytes) -> EngineState | None:
     """
-    Ask an engine whose report is these bytes.
+    Read the report of an engine that answers with the given bytes.
     """
 
     async def report(_: web.Request) -> web.Response:
@@ -46,7 +46,7 @@
 
 def test_a_report_tells_what_an_engine_holds():
     """
-    The stand-in answers as an engine does.
+    The report's fields are decoded into the engine's state.
     """
     state = _ask(as_bytes(make_report()))
     assert state is not None and state.versions == {"model-a": 4}
@@ -55,18 +55,16 @@
 @pytest.mark.parametrize("name", HOSTILE_BYTES)
 def test_a_report_that_cannot_be_read_is_no_usable_answer(name):
     """
-    As if the engine had not answered; nobody who asked ends by it.
+    It counts as no answer and raises nothing.
     """
     assert _ask(HOSTILE_BYTES[name]) is None
 
 
 def test_an_engine_that_was_given_an_order_is_asked_later():
     """
-    By the same task: the order's age does not count for what it sends after.
+    A task that has sent an order can request reports later.
 
-    When it did, whoever ordered engines got no report from any of them 0.8 s later, and
-    no new weights were loaded: a quiet day's worth fell from 0.942 to 0.695, with 718
-    reports that were not asked for.
+    Guards against the order's send deadline applying to later requests of the task.
     """
 
     async def order(_: web.Request) -> web.Response:
--- a/tests/adapter/test_engine_sessions.py
+++ b/tests/adapter/test_engine_sessions.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Connections that are kept with an engine.
+Keep-alive sessions to engines.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 def test_connections_are_kept_for_one_life_of_one_engine():
     """
-    An engine that has started again, or another one at its address, gets new ones.
+    A restarted engine, or another one at its address, gets a new session.
     """
 
     async def play():
@@ -39,7 +39,7 @@
 
 def test_connections_that_nobody_uses_are_given_up(monkeypatch):
     """
-    Engines come and go, and each has an address of its own.
+    Otherwise sessions would accumulate, since new engines have new addresses.
     """
 
     async def play():
--- a/tests/adapter/test_registry.py
+++ b/tests/adapter/test_registry.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Keyed topics that anybody writes to: one bad key hides none of the others.
+Keyed topics with invalid records, which must not hide valid ones.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 async def _followed(registry: StoreRegistry, view: ClusterView) -> asyncio.Task:
     """
-    Follow for as long as the first pages take.
+    Start a follower, and wait until it has read the first pages.
     """
     follower = RegistryFollower(registry, "engines", view.apply_engine)
     task = asyncio.create_task(follower.run())
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("name", [n for n, data in HOSTILE_BYTES.items() if data])
 def test_an_entry_that_cannot_be_read_hides_no_other_one(name):
     """
-    Neither ends what follows the entries, at a start or later.
+    The follower keeps running, whether it reads the entry at its start or later.
     """
     bad = HOSTILE_BYTES[name]
     rows = [make_row("a", bad, 0), make_row("b", _GOOD, 1)]
@@ -93,7 +93,7 @@
 )
 def test_a_row_that_cannot_be_read_hides_no_other_one(row):
     """
-    The page stays usable, wherever in it the row stands.
+    The other rows of the page are returned, whatever the row's position.
     """
     good = make_row("b", _GOOD, 1)
     assert _usable_keys(_newest([row, good])) == ["b"]
@@ -105,7 +105,7 @@
 )
 def test_a_record_without_a_key_hides_no_other_one(record):
     """
-    Nor does it shift what comes behind it.
+    Nor does it shift the offsets of later records.
     """
     page = _changes(make_record(b"a", _GOOD), record, make_record(b"b", _GOOD))
     assert [(entry.key, entry.offset) for entry in page.entries] == [("a", 0), ("b", 2)]
@@ -114,7 +114,7 @@
 
 def test_a_list_goes_on_behind_the_last_key_that_can_be_read():
     """
-    A bad row at a page's end neither ends the list nor begins it anew.
+    An invalid last row must neither end nor restart the listing.
     """
     first = [make_row("a", _GOOD, 0), {"private_key": 7}]
     store = KeyedStore([first, [make_row("b", _GOOD, 1)]])
@@ -125,7 +125,7 @@
 
 def test_a_list_that_leads_no_further_is_no_answer():
     """
-    Taken for the whole list, it would remove the engines on later pages.
+    A partial listing would remove the engines on later pages.
     """
     with pytest.raises(StoreAwayError):
         _newest([None], [make_row("b", _GOOD, 1)])
@@ -133,7 +133,7 @@
 
 def test_a_reason_is_logged_once_for_each_key_and_change():
     """
-    Engines write several times a second; each line names key, field and reason.
+    Engines write several times a second; each line has the key and the reason.
     """
     worse = as_bytes(make_entry(slots="8"))
     writes = [
@@ -162,7 +162,7 @@
 
 def test_reading_all_keys_anew_logs_nothing_anew():
     """
-    That happens after each silence of the store.
+    All keys are read again after each outage of the store.
     """
     store = KeyedStore([[make_row("a", _BAD), make_row("b", _GOOD)]])
     registry = _registry(store)
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize(("value", "used"), [(_BAD, []), (b"", ["a"])])
 def test_an_entry_spoilt_at_the_stores_return_is_not_one_that_lapsed(value, used):
     """
-    One that lapsed may come back as it was; one that was overwritten has not lapsed.
+    An expired entry may return unchanged; an overwritten one has not expired.
     """
     view = ClusterView()
     page = _changes(make_record(b"a", _GOOD), make_record(b"a", value))
@@ -192,7 +192,7 @@
 
 def test_an_entry_that_lapsed_and_comes_back_spoilt_names_no_engine():
     """
-    What was kept for its return is dropped.
+    The entry that was kept for its return is dropped.
     """
     view = ClusterView()
     (good, spoilt) = _changes(make_record(b"a", _GOOD), make_record(b"a", _BAD)).entries
--- a/tests/adapter/test_soak_run.py
+++ b/tests/adapter/test_soak_run.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A short run of the soak; ``make soak`` runs more and longer ones.
+A short soak test; ``make soak`` runs more and longer ones.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 def test_a_short_soak_keeps_every_promise(tmp_path):
     """
-    Some faults on each side, callers served and samples read, and nothing broken.
+    Under faults of all kinds, callers and readers are served and all checks pass.
     """
     verdict = run_seed(1, SoakSettings(seconds=6.0), tmp_path / "soak")
     assert verdict.findings == ()
