--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -32,7 +32,7 @@
 )
 from platform_documents import make_config, make_job
 from saddledoor import ItemResult, StoredText
-from saddledoord.jobs.service import JobReading, ReadResult
+from saddledoord.jobs.service import JobResultsPage, ResultWithText
 
 
 def _entry(data: bytes) -> object:
@@ -339,9 +339,11 @@
     assert body == {"total": 4, "next_token": 2, "results": []}
 
 
-def _read(number: int, text: str) -> ReadResult:
+def _read(number: int, text: str) -> ResultWithText:
     stored = StoredText((number,), len(text))
-    return ReadResult(ItemResult(f"item-{number}", True, stored, (1,), "mark"), text)
+    return ResultWithText(
+        ItemResult(f"item-{number}", True, stored, (1,), "mark"), text
+    )
 
 
 @pytest.mark.parametrize(
