--- a/tests/adapter/document_strategies.py
+++ b/tests/adapter/document_strategies.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.strategies import DrawFn, SearchStrategy
 
-from engine_documents import HOSTILE_VALUES, places
+from engine_documents import HOSTILE_VALUES, field_paths
 
 
 __all__ = ["json_bytes", "json_values", "mutated"]
@@ -70,7 +70,7 @@
 
 
 def _change(draw: DrawFn, document: dict) -> None:
-    ways = list(places(document))
+    ways = list(field_paths(document))
     if not ways:
         return
     *way, last = draw(st.sampled_from(ways))
--- a/tests/adapter/engine_documents.py
+++ b/tests/adapter/engine_documents.py
@@ -19,8 +19,8 @@
     "as_bytes",
     "make_entry",
     "make_report",
-    "places",
-    "spoilt",
+    "field_paths",
+    "with_invalid_values",
 ]
 
 #: Start of a process, in Unix milliseconds.
@@ -99,14 +99,14 @@
     return json.dumps(document).encode()
 
 
-def spoilt(document: object, value: str) -> Iterator[bytes]:
+def with_invalid_values(document: object, value: str) -> Iterator[bytes]:
     """
     Yield the document once for each of its fields, with that field's value replaced.
 
     :param value: The new value, as JSON text.
     """
     mark = "here it goes"
-    for *way, last in places(document):
+    for *way, last in field_paths(document):
         changed = copy.deepcopy(document)
         holder = changed
         for step in way:
@@ -115,7 +115,7 @@
         yield json.dumps(changed).replace(json.dumps(mark), value).encode()
 
 
-def places(node: object) -> Iterator[tuple]:
+def field_paths(node: object) -> Iterator[tuple]:
     """
     Yield the path of each field, nested ones included.
     """
@@ -128,5 +128,5 @@
             return
     for key, child in children:
         yield (key,)
-        for way in places(child):
+        for way in field_paths(child):
             yield (key, *way)
--- a/tests/adapter/platform_bed.py
+++ b/tests/adapter/platform_bed.py
@@ -367,8 +367,8 @@
         """
         for name in self.front_ports:
             events = [line["event"] for line in self.log(name)]
-            told = [event for event in events if event.startswith("share")]
-            if told and told[-1] == "share_taken":
+            share_events = [event for event in events if event.startswith("share")]
+            if share_events and share_events[-1] == "share_taken":
                 return name
         return ""
 
--- a/tests/adapter/standin_engine.py
+++ b/tests/adapter/standin_engine.py
@@ -87,7 +87,7 @@
     busy: bool = False
     born: int = field(default_factory=lambda: time.time_ns() // 1_000_000)
     accepted_orders: int = 0
-    top_fence: int = -1
+    highest_fence: int = -1
     faults: _Faults = field(default_factory=_Faults)
     runs: list[_Run] = field(default_factory=list)
     orders: list[dict] = field(default_factory=list)
@@ -115,7 +115,7 @@
             headers = {"Saddledoor-Not-Executed": "1"}
             return web.Response(status=503, headers=headers)
         self.runs.append(run)
-        self._note(
+        self._record_action(
             "run",
             id=name,
             target=run.target,
@@ -140,16 +140,16 @@
 
     async def _plain(self, request, name: str, _: int) -> web.StreamResponse:
         await asyncio.sleep(self.faults.delay)
-        said = "another" if self.faults.wrong_id else name
-        body = f"answer to {said}".encode()
+        answered_id = "another" if self.faults.wrong_id else name
+        body = f"answer to {answered_id}".encode()
         headers = {
-            "Saddledoor-Attempt-Id": said,
+            "Saddledoor-Attempt-Id": answered_id,
             "Saddledoor-Server-Seal": f"seal-{name}",
         }
         if self.faults.unsigned:
             del headers["Saddledoor-Server-Seal"]
         if self.faults.extra:
-            return await _with_extra(request, headers, body)
+            return await _with_second_response(request, headers, body)
         return web.Response(body=body, headers=headers)
 
     async def _stream(self, request, name: str, after: int) -> web.StreamResponse:
@@ -162,15 +162,15 @@
         )
         response.enable_chunked_encoding()
         await response.prepare(request)
-        said = self.version
+        sent_version = self.version
         for number in range(after + 1, self.events + 1):
             await asyncio.sleep(self.pace)
             head = ""
-            if self.version != said:
-                said = self.version
-                head = f"saddledoor-weight-versions: {said}\n"
+            if self.version != sent_version:
+                sent_version = self.version
+                head = f"saddledoor-weight-versions: {sent_version}\n"
             event = f"{head}id: {number}\ndata: {name}-{number}\n\n".encode()
-            self._note("event", id=name, number=number, version=said)
+            self._record_action("event", id=name, number=number, version=sent_version)
             if self.faults.cut_after and number == self.faults.cut_after + 1:
                 await response.write(event[: len(event) // 2])
                 request.transport.close()
@@ -198,22 +198,22 @@
     async def order(self, request: web.Request) -> web.StreamResponse:
         order = await request.json()
         self.orders.append(order)
-        self._note("order", holder=order["holder"], fence=order["fence_token"])
+        self._record_action("order", holder=order["holder"], fence=order["fence_token"])
         if self.faults.late_orders > 0:
             self.faults.late_orders -= 1
-            self._spawn(self._take_late(order))
+            self._spawn(self._execute_late(order))
             request.transport.abort()
             return web.Response()
-        return web.Response(status=self._take(order))
+        return web.Response(status=self._execute_order(order))
 
-    async def _take_late(self, order: dict) -> None:
+    async def _execute_late(self, order: dict) -> None:
         await asyncio.sleep(3.0)
-        order["late_status"] = self._take(order)
+        order["late_status"] = self._execute_order(order)
 
-    def _take(self, order: dict) -> int:
-        if order["fence_token"] < self.top_fence:
+    def _execute_order(self, order: dict) -> int:
+        if order["fence_token"] < self.highest_fence:
             return 412
-        self.top_fence = order["fence_token"]
+        self.highest_fence = order["fence_token"]
         if (
             self.busy
             or order.get("if_rev", self.accepted_orders) != self.accepted_orders
@@ -222,10 +222,10 @@
         if order["version"] == self.version:
             return 200
         self.accepted_orders += 1
-        self._spawn(self._load(order["version"]))
+        self._spawn(self._load_version(order["version"]))
         return 202
 
-    async def _load(self, version: int) -> None:
+    async def _load_version(self, version: int) -> None:
         self.busy = True
         await asyncio.sleep(self.load)
         self.version, self.busy = version, False
@@ -257,7 +257,7 @@
         ):
             response.raise_for_status()
 
-    def _note(self, what: str, **fields: object) -> None:
+    def _record_action(self, what: str, **fields: object) -> None:
         """
         Append a line to the journal, which is kept across restarts.
         """
@@ -291,7 +291,9 @@
         )
 
 
-async def _with_extra(request, headers: dict, body: bytes) -> web.StreamResponse:
+async def _with_second_response(
+    request, headers: dict, body: bytes
+) -> web.StreamResponse:
     """
     Answer, and send a second, unrelated response on the same connection.
     """
--- a/tests/adapter/test_boundary.py
+++ b/tests/adapter/test_boundary.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "said"),
+    ("before", "after", "expected"),
     [
         ('node_name = "edge-0"', "", "node_name: missing"),
         (
@@ -109,14 +109,14 @@
     ],
 )
 def test_unusable_settings_are_one_line_and_exit_status_2(
-    tmp_path, before, after, said
+    tmp_path, before, after, expected
 ):
     """
     The line names the file and the field.
     """
     path = tmp_path / "boot.toml"
     path.write_text(_settings().replace(before, after, 1))
-    with pytest.raises(InvalidSettingsError, match=re.escape(said)):
+    with pytest.raises(InvalidSettingsError, match=re.escape(expected)):
         load_boot_settings(path)
     done = subprocess.run(
         [sys.executable, str(_ROOT / "platform" / "edge.py")],
@@ -127,7 +127,7 @@
     )
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
-    assert said in done.stderr
+    assert expected in done.stderr
 
 
 def test_an_interface_of_the_platform_without_duties_asks_for_no_usage(tmp_path):
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -28,7 +28,7 @@
     as_bytes,
     make_entry,
     make_report,
-    spoilt,
+    with_invalid_values,
 )
 from platform_documents import make_config, make_job
 from saddledoor import ItemResult, StoredText
@@ -105,7 +105,7 @@
     """
     decode, body = _DECODERS[kind]
     decode(as_bytes(body))
-    for data in spoilt(body, value):
+    for data in with_invalid_values(body, value):
         try:
             decode(data)
         except InvalidBodyError as error:
@@ -312,7 +312,9 @@
     Also with texts that JSON escapes enlarge; further results need another read.
     """
     texts = ["\n" * 300_000] * 3
-    reading = JobReading(9, 5, tuple(_read(n, text) for n, text in enumerate(texts)))
+    reading = JobResultsPage(
+        9, 5, tuple(_read(n, text) for n, text in enumerate(texts))
+    )
     answer = encode_results(reading)
     assert len(answer) < 1_000_000
     body = json.loads(answer)
@@ -325,7 +327,7 @@
     """
     Otherwise the reader would repeat the same read for ever.
     """
-    reading = JobReading(1, 1, (_read(0, "\n" * 600_000),))
+    reading = JobResultsPage(1, 1, (_read(0, "\n" * 600_000),))
     body = json.loads(encode_results(reading))
     assert [result["message"] for result in body["results"]] == ["\n" * 600_000]
     assert body["next_token"] == 1
@@ -335,7 +337,7 @@
     """
     There is no result from the position on.
     """
-    body = json.loads(encode_results(JobReading(4, 2, ())))
+    body = json.loads(encode_results(JobResultsPage(4, 2, ())))
     assert body == {"total": 4, "next_token": 2, "results": []}
 
 
--- a/tests/adapter/test_edge_settings.py
+++ b/tests/adapter/test_edge_settings.py
@@ -19,8 +19,8 @@
     return [line for line in bed.log("edge-0") if line["event"] == event]
 
 
-@pytest.mark.parametrize("told", [True, False], ids=["by a signal", "without one"])
-def test_a_changed_file_is_taken_while_texts_are_made(platform_bed, told):
+@pytest.mark.parametrize("signalled", [True, False], ids=["by a signal", "without one"])
+def test_a_changed_file_is_taken_while_texts_are_made(platform_bed, signalled):
     """
     No item runs twice, and the metrics show the version in force.
     """
@@ -31,7 +31,7 @@
     assert bed.submit("job-1", make_job(2)).status == 202
     until(lambda: len(bed.runs()) == 2)
     bed.change_settings("edge-0", "cancel_ms = 3000", "cancel_ms = 2000")
-    if told:
+    if signalled:
         bed.signal("edge-0", signal.SIGHUP)
     until(lambda: bed.settings_in_force("edge-0") != before, 3.0)
     (line,) = _logged(bed, "settings_in_force")
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "said"),
+    ("before", "after", "expected"),
     [
         ("grace_s = 8", "grace_s = true", "timing_bounds.grace_s"),
         ("lease_ms = 1000", "lease_ms = 1500", "lease_term"),
@@ -50,7 +50,7 @@
     ],
 )
 def test_a_file_that_cannot_be_taken_is_refused_whole_with_one_line(
-    platform_bed, before, after, said
+    platform_bed, before, after, expected
 ):
     """
     The line names the field; the settings in force stay, and the next valid file is
@@ -64,7 +64,7 @@
     until(lambda: _logged(bed, "settings_refused"))
     time.sleep(1.2)
     (line,) = _logged(bed, "settings_refused")
-    assert said in line["reason"]
+    assert expected in line["reason"]
     assert bed.settings_in_force("edge-0") == version == line["in_force"]
     assert bed.submit("job-1", make_job(1)).status == 202
     bed.change_settings("edge-0", after, before)
--- a/tests/adapter/test_registry.py
+++ b/tests/adapter/test_registry.py
@@ -195,10 +195,12 @@
     The entry that was kept for its return is dropped.
     """
     view = ClusterView()
-    (good, spoilt) = _changes(make_record(b"a", _GOOD), make_record(b"a", _BAD)).entries
+    (good, invalid) = _changes(
+        make_record(b"a", _GOOD), make_record(b"a", _BAD)
+    ).entries
     view.apply_engine(good)
     view.store_reached(True)
     view.retain_engines(set())
     assert len(view.directory.usable("pool", boot_time())) == 1
-    view.apply_engine(spoilt)
+    view.apply_engine(invalid)
     assert view.directory.usable("pool", boot_time()) == []
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -27,7 +27,7 @@
     Guard(
         "an item is not blamed for engines that it did not reach",
         "platform/engines.py",
-        "                GenerationFailedError.UNREACHED,\n",
+        "                GenerationFailedError.UNREACHABLE,\n",
         "                GenerationFailedError.BROKEN,\n",
         ("tests/adapter/test_edge_unreached_engines.py", "did_not_reach"),
     ),
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -99,7 +99,7 @@
         (LIVES, "shut_an_engine_out"),
     ),
     Guard(
-        "kept connections are of one life",
+        "keep-alive connections are to one incarnation",
         "platform/engine_sessions.py",
         "if current is None or current.incarnation != engine.incarnation:",
         "if current is None:",
@@ -113,14 +113,14 @@
         (REGISTRY, "spoilt"),
     ),
     Guard(
-        "an entry in a state that is not known names no engine",
+        "an entry with an unknown state is rejected",
         "platform/documents.py",
         "    if draining is None:\n",
         "    if False:\n",
         ("tests/adapter/test_documents.py", "another_type_or_range"),
     ),
     Guard(
-        "a reason is logged once, however often an engine writes",
+        "the same reason of a key is logged once",
         "platform/store.py",
         "if self._logged_reasons.get(key) == reason:",
         "if False:",
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -23,7 +23,7 @@
 
 GUARDS = (
     Guard(
-        "no engine is shown a key, nor the caller's own word",
+        "engines get neither a caller's key nor its workspace header",
         "platform/engines.py",
         "if pair[0].lower() not in replaced",
         "if True",
@@ -122,7 +122,7 @@
         ("tests/test_usage.py", "taken_back"),
     ),
     Guard(
-        "an edge that stood still looks again before it ends",
+        "an edge polls again after a process pause before it exits",
         "platform/edge.py",
         "if boot_time() > started_at + _LAME_DUCK and on_time and not front.in_flight:",
         "if boot_time() > started_at + _LAME_DUCK and not front.in_flight:",
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -25,7 +25,7 @@
 
 GUARDS = (
     Guard(
-        "a stream without its end is not whole",
+        "a stream without its end is incomplete",
         "platform/engines.py",
         """            raise GenerationFailedError(
                 GenerationFailedError.BROKEN, summarize_error(error)
@@ -35,7 +35,7 @@
         (ITEMS, "without_its_end_marker"),
     ),
     Guard(
-        "an order names the count of orders taken",
+        "an order names the number of accepted orders",
         "platform/engines.py",
         '            "if_rev": order.accepted_orders,\n',
         "",
@@ -107,7 +107,7 @@
         (ATTEMPTS, "refused_at_once"),
     ),
     Guard(
-        "the engine stops when the caller leaves",
+        "the engine's run is cancelled when the caller disconnects",
         "platform/front.py",
         "            answer_task.cancel()\n",
         "",
@@ -128,7 +128,7 @@
         (PASS, "still_has"),
     ),
     Guard(
-        "a success carries the engine's mark",
+        "a success carries the engine's signature",
         "platform/engine_answers.py",
         "if response.status < 300 and not signature:",
         "if False:",
@@ -163,7 +163,7 @@
         (POOL, "overtaken"),
     ),
     Guard(
-        "a settings file that needs a new process is refused",
+        "a settings file that needs a restart is rejected",
         "platform/settings_file.py",
         "self._check_fixed(settings)",
         "pass",
