--- a/tests/adapter/test_engine_sessions.py
+++ b/tests/adapter/test_engine_sessions.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Connections that are kept with an engine.
+Keep-alive sessions to engines.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 def test_connections_are_kept_for_one_life_of_one_engine():
     """
-    An engine that has started again, or another one at its address, gets new ones.
+    A restarted engine, or another one at its address, gets a new session.
     """
 
     async def play():
         sessions = EngineSessions(aiohttp.ClientSession)
-        first = sessions.of(make_engine_entry("e-1", started_at=1))
-        assert sessions.of(make_engine_entry("e-1", started_at=1)) is first
-        again = sessions.of(make_engine_entry("e-1", started_at=2))
-        other = sessions.of(make_engine_entry("e-2", started_at=2))
+        first = sessions.session_for(make_engine_entry("e-1", started_at=1))
+        assert sessions.session_for(make_engine_entry("e-1", started_at=1)) is first
+        again = sessions.session_for(make_engine_entry("e-1", started_at=2))
+        other = sessions.session_for(make_engine_entry("e-2", started_at=2))
         await asyncio.sleep(0)
         assert len({first, again, other}) == 3
         assert first.closed
@@ -39,17 +39,17 @@
 
 def test_connections_that_nobody_uses_are_given_up(monkeypatch):
     """
-    Engines come and go, and each has an address of its own.
+    Otherwise sessions would accumulate, since new engines have new addresses.
     """
 
     async def play():
         sessions = EngineSessions(aiohttp.ClientSession)
-        unused = sessions.of(make_engine_entry("e-1", address="127.0.0.1:1"))
-        used = sessions.of(make_engine_entry("e-2", address="127.0.0.1:2"))
+        unused = sessions.session_for(make_engine_entry("e-1", address="127.0.0.1:1"))
+        used = sessions.session_for(make_engine_entry("e-2", address="127.0.0.1:2"))
         now = engine_sessions.boot_time()
         monkeypatch.setattr(engine_sessions, "boot_time", lambda: now + 121.0)
-        sessions.of(make_engine_entry("e-2", address="127.0.0.1:2"))
-        sessions.of(make_engine_entry("e-3", address="127.0.0.1:3"))
+        sessions.session_for(make_engine_entry("e-2", address="127.0.0.1:2"))
+        sessions.session_for(make_engine_entry("e-3", address="127.0.0.1:3"))
         await asyncio.sleep(0)
         assert unused.closed
         assert not used.closed
