--- a/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
+++ b/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
@@ -180,8 +180,8 @@
         before = len(self._crashes)
         while self._crashes:
             oldest = next(iter(self._crashes.values()))
-            is_full = len(self._crashes) > _MAX_CRASHES
-            if not is_full and now - oldest.reported_at <= _RETENTION:
+            over_limit = len(self._crashes) > _MAX_CRASHES
+            if not over_limit and now - oldest.reported_at <= _RETENTION:
                 break
             self._crashes.popitem(last=False)
         return len(self._crashes) < before
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -88,15 +88,15 @@
     Guard(
         "what is known of ends is bounded in time",
         _FOLD,
-        "            if not is_full and now - oldest.reported_at <= _RETENTION:\n",
-        "            if not is_full:\n",
+        "            if not over_limit and now - oldest.reported_at <= _RETENTION:\n",
+        "            if not over_limit:\n",
         (CRASH_FOLD, "bounded_in_time"),
     ),
     Guard(
         "what is known of ends is bounded in count",
         _FOLD,
-        "            is_full = len(self._crashes) > _MAX_CRASHES\n",
-        "            is_full = False\n",
+        "            over_limit = len(self._crashes) > _MAX_CRASHES\n",
+        "            over_limit = False\n",
         (CRASH_FOLD, "bounded_in_count"),
     ),
     Guard(
