--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -37,7 +37,7 @@
 _READ_WAIT = 0.2
 
 
-#: Longest wait for an answer of the store, in seconds.
+#: Longest wait for an answer of the store beyond that, in seconds.
 _ANSWER_TIMEOUT = 0.5
 
 
@@ -57,7 +57,7 @@
         self._watches: dict[str, LeaseWatch] = {}
         self._regained_at = float("-inf")
         self._changes = ChangeNotifier()
-        self._on_other_record: Callable[[object], None] = lambda record: None
+        self._on_record: Callable[[object], None] = lambda record: None
         self._follower = LogFollower(
             log,
             CONTROL_STREAM,
@@ -103,11 +103,11 @@
         """
         return self._follower.last_read_at
 
-    def on_other_record(self, apply: Callable[[object], None]) -> None:
+    def on_record(self, apply: Callable[[object], None]) -> None:
         """
         Set the function that is called with each record of the stream.
         """
-        self._on_other_record = apply
+        self._on_record = apply
 
     async def sync(self) -> bool:
         """
@@ -214,7 +214,7 @@
     def _apply(self, offset: int, data: bytes) -> None:
         record = decode_record(data)
         self._fold = self._fold.apply(offset, record)
-        self._on_other_record(record)
+        self._on_record(record)
         # The term starts when the newest renewal has been read.
         for name, watch in self._watches.items():
             watch.observe(self.get(name), boot_time())
--- a/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
@@ -151,7 +151,7 @@
         self._checks: dict[asyncio.Task, _EngineRuns] = {}
         self._pending = deque[_Record](maxlen=_MAX_PENDING_RECORDS)
         self._has_pending = asyncio.Event()
-        leases.on_other_record(self._apply)
+        leases.on_record(self._apply)
 
     def poison_status(self, key: str) -> PoisonStatus:
         """
--- a/packages/saddledoord/src/saddledoord/serving/pass_through.py
+++ b/packages/saddledoord/src/saddledoord/serving/pass_through.py
@@ -201,7 +201,7 @@
         await self._crash_watch.refresh()
         pending: set[asyncio.Task[Outcome]] = set()
         try:
-            while current.left > _MIN_TIME_LEFT:
+            while current.remaining > _MIN_TIME_LEFT:
                 if not pending or self._may_hedge(current):
                     pending |= self._start(current, bool(pending))
                 if not pending and not self._may_retry(current, False):
@@ -289,14 +289,14 @@
         """
         Return how long to wait before the next attempt may start, in seconds.
         """
-        left = max(0.0, current.left)
+        remaining = max(0.0, current.remaining)
         if self._may_retry(current, True):
-            return min(left, _POLL_INTERVAL)
+            return min(remaining, _POLL_INTERVAL)
         if not self._may_hedge(current):
-            return left
+            return remaining
         if not current.attempts.may_try_another_engine():
-            return left
-        return min(left, current.route.objective * _HEDGE_AFTER)
+            return remaining
+        return min(remaining, current.route.objective * _HEDGE_AFTER)
 
     async def _attempt(
         self, current: RequestState, engine: EngineEntry, attempt: EngineAttempt
@@ -312,10 +312,10 @@
             self._crash_watch.track_run(engine.incarnation, current.key) as run,
         ):
             try:
-                left = max(0.0, current.left)
-                async with self._timeouts.within(engine.incarnation, left):
+                remaining = max(0.0, current.remaining)
+                async with self._timeouts.within(engine.incarnation, remaining):
                     outcome = await self._engines.call(
-                        engine, current.request, current.left
+                        engine, current.request, current.remaining
                     )
             except TimeoutError:
                 outcome = self._timed_out(engine)
@@ -360,7 +360,7 @@
             content=current.key,
             attempt=number,
             outcome=outcome,
-            left=round(current.left, 3),
+            left=round(current.remaining, 3),
         )
 
     def _give_up(self, current: RequestState) -> Outcome:
@@ -387,7 +387,7 @@
             content=current.key,
             outcome=describe(outcome),
             tried=[engine.engine_id for engine in current.engines.values()],
-            left=round(current.left, 3),
+            left=round(current.remaining, 3),
         )
         return outcome
 
--- a/packages/saddledoord/src/saddledoord/serving/request_state.py
+++ b/packages/saddledoord/src/saddledoord/serving/request_state.py
@@ -82,7 +82,7 @@
     last: Outcome | None = None
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """
         Time until the deadline, in seconds.
         """
--- a/tests/crash_watches.py
+++ b/tests/crash_watches.py
@@ -41,7 +41,7 @@
         self.records: list[bytes] = []
         self._apply: Callable[[object], None] = lambda record: None
 
-    def on_other_record(self, apply: Callable[[object], None]) -> None:
+    def on_record(self, apply: Callable[[object], None]) -> None:
         self._apply = apply
 
     async def sync(self) -> bool:
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -51,7 +51,7 @@
     Guard(
         "ends outlive all nodes",
         f"{DAEMON}/cluster/leases.py",
-        "        self._on_other_record(record)\n",
+        "        self._on_record(record)\n",
         "",
         (CRASHING, "loss_of_all_edges"),
     ),
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Guards of engines: incarnations, weights, orders and the placement of items.
+Guards of engines: their lives, weights and orders, and which one an item goes to.
 """
 
 from __future__ import annotations
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -116,8 +116,8 @@
     Guard(
         "a second engine works beside a slow one",
         f"{DAEMON}/serving/pass_through.py",
-        "if not self._may_hedge(current):\n            return left",
-        "if True:\n            return left",
+        "if not self._may_hedge(current):\n            return remaining",
+        "if True:\n            return remaining",
         (REQUESTS, "slow_engine"),
     ),
     Guard(
