--- a/packages/saddledoorctl/src/saddledoorctl/_config.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_config.py
@@ -30,16 +30,16 @@
 )
 from saddledoor.exceptions import InvalidDocumentError
 
-from ._files import base_of, difference, load_deployment, to_yaml
-from ._platform import ConfigStream, PlatformAwayError
+from ._files import difference, load_deployment, read_base, to_yaml
+from ._platform import ConfigStream, PlatformUnavailableError
 
 
 __all__ = ["config"]
 
-#: Exit statuses.
-EXIT_LOST = 1
+#: Exit statuses: rejected or nothing accepted, unusable input, log unreachable.
+EXIT_REJECTED = 1
 EXIT_USAGE = 2
-EXIT_AWAY = 3
+EXIT_UNAVAILABLE = 3
 
 _log_option = click.option(
     "--log",
@@ -83,7 +83,7 @@
     Publish FILE; it is accepted only if nobody published in between.
     """
     deployment = _load(file, as_json)
-    base = base if base is not None else base_of(file)
+    base = base if base is not None else read_base(file)
     _run(_publish(deployment, base, wait, log_url, as_json))
 
 
@@ -122,9 +122,9 @@
 def _run(work) -> None:
     try:
         sys.exit(asyncio.run(work))
-    except PlatformAwayError as error:
+    except PlatformUnavailableError as error:
         click.echo(f"the log cannot be reached: {error}", err=True)
-        sys.exit(EXIT_AWAY)
+        sys.exit(EXIT_UNAVAILABLE)
 
 
 def _print(data: dict, as_json: bool, text: str) -> None:
@@ -155,26 +155,28 @@
         began = time.monotonic()
         found = await _propose(stream, proposal, wait)
         seconds = round(time.monotonic() - began, 3)
-        return _tell(stream, deployment, found, seconds, as_json)
+        return _print_result(stream, deployment, found, seconds, as_json)
 
 
 async def _propose(
     stream: ConfigStream, proposal: ConfigProposal, wait: float
 ) -> tuple[int, PublishResult] | None:
     """
-    Append and read on until there is a verdict; none if it took too long.
+    Append a proposal and read the log until it has a verdict or `wait` seconds pass.
+
+    :returns: Offset and state of the proposal; None if it is not in the log.
     """
-    give_up = time.monotonic() + wait
+    deadline = time.monotonic() + wait
     try:
         await stream.append(proposal)
-    except PlatformAwayError:
-        # It may stand in the log all the same: only reading on tells.
+    except PlatformUnavailableError:
+        # The append may have succeeded; reading the log shows whether it did.
         click.echo("the log's answer was lost; reading on", err=True)
     found = None
-    while time.monotonic() < give_up:
+    while time.monotonic() < deadline:
         try:
             await stream.catch_up(wait=0.5)
-        except PlatformAwayError:
+        except PlatformUnavailableError:
             await asyncio.sleep(0.2)
         found = stream.fold.result_of(proposal.record_id)
         if found is not None and found[1].state != "pending":
@@ -182,7 +184,7 @@
     return found
 
 
-def _tell(
+def _print_result(
     stream: ConfigStream,
     deployment: Deployment,
     found: tuple[int, PublishResult] | None,
@@ -197,17 +199,17 @@
     if result.state == "invalid":
         data["reason"] = result.reason
         _print(data, as_json, f"refused: {result.reason}")
-        return EXIT_LOST
+        return EXIT_REJECTED
     if result.state == "lost":
         winner = stream.fold.accepted
         text = difference(deployment, winner.document) if winner else ""
         data |= {"accepted": result.winner, "difference": text}
         first = f"lost: offset {result.winner} is accepted and your file's base is not"
         _print(data, as_json, f"{first}\n{text}")
-        return EXIT_LOST
-    # Neither accepted nor refused yet: saying either would be a guess.
+        return EXIT_REJECTED
+    # The outcome is unknown: the proposal may still be accepted or refused.
     _print(data, as_json, f"no verdict yet ({result.state}); see `config history`")
-    return EXIT_AWAY
+    return EXIT_UNAVAILABLE
 
 
 async def _show(log_url: str, as_json: bool) -> int:
@@ -217,7 +219,7 @@
     accepted = stream.fold.accepted
     if accepted is None:
         click.echo("no configuration is accepted", err=True)
-        return EXIT_LOST
+        return EXIT_REJECTED
     text = to_yaml(accepted.document, accepted.offset)
     _print({"offset": accepted.offset, "file": text}, as_json, text)
     return 0
--- a/packages/saddledoorctl/src/saddledoorctl/_files.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_files.py
@@ -18,9 +18,9 @@
 from saddledoor.exceptions import InvalidDocumentError, Problem
 
 
-__all__ = ["base_of", "difference", "load_deployment", "to_yaml"]
+__all__ = ["difference", "load_deployment", "read_base", "to_yaml"]
 
-#: The comment that `config show` writes and `config publish` reads.
+#: Comment with the base offset, written by `config show`, read by `config publish`.
 _BASE = re.compile(rb"^# edited from offset (-?\d+)\s*$", re.MULTILINE)
 
 
@@ -28,7 +28,7 @@
     """
     Read and check a deployment file as a whole.
 
-    :raises InvalidDocumentError: With file, line, finding and allowance.
+    :raises InvalidDocumentError: If the file cannot be read or is invalid.
     """
     return load_checked(str(path), read_file(path), validate)
 
@@ -46,9 +46,9 @@
         raise InvalidDocumentError(str(path), (problem,)) from None
 
 
-def base_of(path: Path) -> int | None:
+def read_base(path: Path) -> int | None:
     """
-    Return the offset that a file says it was edited from, or none.
+    Return the offset that a file was edited from; None if the file does not name it.
     """
     found = _BASE.search(read_file(path))
     return int(found.group(1)) if found else None
@@ -65,7 +65,7 @@
 
 def difference(mine: Deployment, document: str) -> str:
     """
-    Tell how a file and an accepted document differ, line by line.
+    Return a unified diff from an accepted document to a file.
     """
     own = yaml.safe_dump(json.loads(deployment_to_json(mine)), sort_keys=False)
     theirs = yaml.safe_dump(json.loads(unpack_document(document)), sort_keys=False)
--- a/packages/saddledoorctl/src/saddledoorctl/_html.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_html.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The burn report as one page, with its plot inline.
+Renders the burn report as one HTML page with an inline plot.
 """
 
 from __future__ import annotations
@@ -29,9 +29,11 @@
     deployment: str, rows: Sequence[BurnRow], holes: Sequence[CountingGap]
 ) -> str:
     """
-    Return the page.
+    Return the HTML page.
 
-    :raises click.ClickException: If the library for plots is not installed.
+    :param holes: Processes that stopped reporting, whose counts are incomplete.
+
+    :raises click.ClickException: If matplotlib is not installed.
     """
     body = "".join(_row(row) for row in rows)
     missing = "".join(
--- a/packages/saddledoorctl/src/saddledoorctl/_log_lines.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_log_lines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Log lines of VMs, read back from files that a collector wrote.
+Reads log lines of VMs from the files of a log collector.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 __all__ = ["LogLine", "read_lines"]
 
-#: A time in seconds before a line's JSON, as collectors write it; it goes before the
-#: line's own time of day, which may be wrong on one VM.
+#: A collector's time in seconds before a line's JSON; preferred to the line's own
+#: timestamp, since clocks of VMs may differ.
 _COLLECTED = re.compile(r"\s*(-?\d+(?:\.\d+)?)\s")
 
 
@@ -26,7 +26,7 @@
     """
     A log line.
 
-    :param at: In seconds, of one clock for all lines that a collector has timed.
+    :param at: Time in seconds: the collector's, or the line's timestamp without one.
     """
 
     at: float
@@ -35,7 +35,7 @@
 
 def read_lines(file: Path) -> Iterator[LogLine]:
     """
-    Yield the lines of a file that are log lines, in its order.
+    Yield the log lines of a file in order; other lines are skipped.
     """
     with file.open(errors="replace") as text:
         for line in text:
@@ -44,13 +44,13 @@
                 continue
             try:
                 fields = json.loads(brace + rest)
-                yield LogLine(_time_of(head, fields), fields)
+                yield LogLine(_line_time(head, fields), fields)
             except (ValueError, KeyError, TypeError):
-                # A line of another program, or one that was cut.
+                # A line of another program, or a truncated line.
                 continue
 
 
-def _time_of(head: str, fields: dict) -> float:
+def _line_time(head: str, fields: dict) -> float:
     collected = _COLLECTED.match(head)
     if collected:
         return float(collected[1])
--- a/packages/saddledoorctl/src/saddledoorctl/_platform.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_platform.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Adapters of the command line: the log service and daemons' status.
+HTTP clients of the command line for the log service and for daemons' status.
 """
 
 from __future__ import annotations
@@ -16,24 +16,30 @@
 from saddledoor.exceptions import UndecodableRecordError
 
 
-__all__ = ["ConfigStream", "LogStream", "PlatformAwayError", "fetch_any", "fetch_json"]
+__all__ = [
+    "ConfigStream",
+    "LogStream",
+    "PlatformUnavailableError",
+    "fetch_each",
+    "fetch_json",
+]
 
 #: Longest wait for one answer, in seconds.
 _TIMEOUT = 5.0
 
 
-class PlatformAwayError(Exception):
+class PlatformUnavailableError(Exception):
     """
-    The log or a VM gave no usable answer.
+    The log or a VM is unreachable, or its answer is unusable.
     """
 
 
 @dataclass(frozen=True)
 class Entry:
     """
-    A record of the configuration stream.
+    A record of a stream of the log.
 
-    :param at: When the log took it, in seconds since 1970.
+    :param at: When the log stored it, in seconds since 1970.
     """
 
     offset: int
@@ -54,10 +60,11 @@
 
     async def catch_up(self, wait: float = 0.0) -> None:
         """
-        Read everything that the log has now.
+        Read all new records of the stream.
 
-        :param wait: How long the log may wait for a record to come, in seconds.
-        :raises PlatformAwayError: If the log gave no answer.
+        :param wait: How long the log may wait for a new record, in seconds; unless 0,
+            only one page is read.
+        :raises PlatformUnavailableError: If the log gave no usable answer.
         """
         while True:
             params = {"from": str(self._next), "wait": str(wait)}
@@ -71,29 +78,29 @@
 
     def load(self, page: dict) -> None:
         """
-        Take a page as the log gives it, from the log or from a file.
+        Add the records of a page, read from the log or from a dump file.
         """
-        self._begin(page["first"])
+        self._start_page(page["first"])
         for item in page["records"]:
-            self._take(item)
+            self._add_record(item)
         self._next = max(self._next, page["next"])
 
     async def append(self, record: Record) -> None:
         """
-        Append a record; on an error it may stand in the log all the same.
+        Append a record; after an error its outcome is unknown.
 
-        :raises PlatformAwayError: If the log gave no answer.
+        :raises PlatformUnavailableError: If the log gave no usable answer.
         """
         limit = aiohttp.ClientTimeout(total=_TIMEOUT)
         body = {"records": [encode_record(record)]}
         await fetch_json(self._session, "POST", self._url, json=body, timeout=limit)
 
-    def _begin(self, first: int) -> None:
+    def _start_page(self, first: int) -> None:
         """
-        Learn the oldest offset that the log has.
+        Process the oldest offset that the log has; called before a page's records.
         """
 
-    def _take(self, item: dict) -> Entry | None:
+    def _add_record(self, item: dict) -> Entry | None:
         try:
             record = decode_record(item["data"])
         except UndecodableRecordError:
@@ -105,19 +112,19 @@
 
 class ConfigStream(LogStream):
     """
-    The configuration stream and its fold.
+    The configuration stream and the state folded from its records.
     """
 
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         super().__init__(session, url, "config")
         self.fold: ConfigFold | None = None
 
-    def _begin(self, first: int) -> None:
+    def _start_page(self, first: int) -> None:
         if self.fold is None:
             self.fold = ConfigFold.starting_at(first)
 
-    def _take(self, item: dict) -> Entry | None:
-        entry = super()._take(item)
+    def _add_record(self, item: dict) -> Entry | None:
+        entry = super()._add_record(item)
         if entry is not None:
             self.fold = self.fold.apply(entry.offset, entry.record)
         return entry
@@ -127,31 +134,32 @@
     session: aiohttp.ClientSession, method: str, url: str, **options: object
 ) -> dict:
     """
-    Ask for JSON.
+    Send a request and return the JSON body of its answer.
 
-    :raises PlatformAwayError: If there is no usable answer.
+    :raises PlatformUnavailableError: If there is no answer, the status is not 200 or
+        the body is not JSON.
     """
     try:
         async with session.request(method, url, **options) as response:
             if response.status != 200:
-                raise PlatformAwayError(f"{url}: status {response.status}")
+                raise PlatformUnavailableError(f"{url}: status {response.status}")
             return await response.json()
     except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-        raise PlatformAwayError(f"{url}: {error!r}") from None
+        raise PlatformUnavailableError(f"{url}: {error!r}") from None
 
 
-async def fetch_any(
+async def fetch_each(
     session: aiohttp.ClientSession, urls: Iterable[str]
 ) -> dict[str, dict | None]:
     """
-    Ask several addresses; none where one gave no answer.
+    Fetch JSON from several URLs at once; None for those without a usable answer.
     """
 
     async def one(url: str) -> dict | None:
         limit = aiohttp.ClientTimeout(total=2.0)
         try:
             return await fetch_json(session, "GET", url, timeout=limit)
-        except PlatformAwayError:
+        except PlatformUnavailableError:
             return None
 
     listed = list(urls)
--- a/packages/saddledoorctl/src/saddledoorctl/_replay.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_replay.py
@@ -20,7 +20,7 @@
 
 __all__ = ["load_outcomes", "replay_command", "replay_file"]
 
-EXIT_BROKEN = 1
+EXIT_VIOLATED = 1
 EXIT_USAGE = 2
 
 _OUTCOMES = TypeAdapter(ExpectedOutcomes)
@@ -28,9 +28,9 @@
 
 def load_outcomes(trace: Path) -> ExpectedOutcomes:
     """
-    Read the outcomes stated beside a trace.
+    Read the expected outcomes of a trace from the file beside it.
 
-    :raises InvalidDocumentError: If they cannot be used.
+    :raises InvalidDocumentError: If the file is missing or invalid.
     """
     path = trace.with_suffix(".outcomes.json")
     try:
@@ -48,9 +48,10 @@
 
 def replay_file(path: Path) -> Violation | None:
     """
-    Replay a trace against its stated outcomes.
+    Replay a trace and check its expected outcomes.
 
-    :raises InvalidDocumentError: If either file cannot be used.
+    :returns: The first violation; None if all outcomes hold.
+    :raises InvalidDocumentError: If either file is missing or invalid.
     """
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
@@ -95,7 +96,7 @@
             f"{path}: {broken.promise} is broken by event {broken.index}: "
             f"{broken.reason}"
         )
-    return 0 if broken is None else EXIT_BROKEN
+    return 0 if broken is None else EXIT_VIOLATED
 
 
 def _unusable(path: Path, found: str) -> InvalidDocumentError:
--- a/packages/saddledoorctl/src/saddledoorctl/_report.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_report.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-``saddledoorctl report burn``: error budgets, how fast they are spent, and where.
+``saddledoorctl report``: error budgets and burn rates; adds ``runs`` and ``steps``.
 """
 
 from __future__ import annotations
@@ -28,23 +28,25 @@
 )
 
 from ._html import render_html
-from ._platform import ConfigStream, LogStream, PlatformAwayError
+from ._platform import ConfigStream, LogStream, PlatformUnavailableError
 from ._runs import runs
 from ._steps import steps
 
 
 __all__ = ["report"]
 
-EXIT_NONE = 1
-EXIT_AWAY = 3
+EXIT_NO_CONFIG = 1
+EXIT_UNAVAILABLE = 3
 
 
 @dataclass(frozen=True)
 class BurnReport:
     """
-    Everything that the report shows.
+    The contents of the report.
 
-    :param rows: Over the fast window, then over the slow one.
+    :param at: End of the windows, in seconds since 1970.
+    :param rows: Rows of the fast window, then of the slow one.
+    :param holes: Processes that stopped reporting, whose counts are incomplete.
     """
 
     deployment: str
@@ -90,13 +92,13 @@
         raise click.UsageError("name either --log or --dump")
     try:
         config, stream = asyncio.run(_read_log(log_url)) if log_url else _load(dump)
-    except PlatformAwayError as error:
+    except PlatformUnavailableError as error:
         click.echo(f"the log cannot be reached: {error}", err=True)
-        sys.exit(EXIT_AWAY)
+        sys.exit(EXIT_UNAVAILABLE)
     if config.fold is None or config.fold.accepted is None:
         click.echo("no configuration is accepted", err=True)
-        sys.exit(EXIT_NONE)
-    found = _gather(config, stream, (fast, slow), _now(stream, dump))
+        sys.exit(EXIT_NO_CONFIG)
+    found = _build_report(config, stream, (fast, slow), _now(stream, dump))
     if html is not None:
         html.write_text(render_html(found.deployment, found.rows, found.holes))
     if as_json:
@@ -126,13 +128,13 @@
 
 
 def _now(stream: LogStream, dump: Path | None) -> float:
-    # The windows of a dump end with its last record.
+    # The windows of a dump end at its last record.
     if dump is None or not stream.entries:
         return time.time()
     return stream.entries[-1].at
 
 
-def _gather(
+def _build_report(
     config: ConfigStream, stream: LogStream, windows: tuple[float, ...], now: float
 ) -> BurnReport:
     document = unpack_document(config.fold.accepted.document)
@@ -141,10 +143,10 @@
         for entry in stream.entries
         if isinstance(entry.record, BurnTotals)
     ]
-    return _work_out(deployment_from_json(document), records, windows, now)
+    return _compute_report(deployment_from_json(document), records, windows, now)
 
 
-def _work_out(
+def _compute_report(
     deployment: Deployment,
     records: list[tuple[float, BurnTotals]],
     windows: tuple[float, ...],
--- a/packages/saddledoorctl/src/saddledoorctl/_runs.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_runs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-``saddledoorctl report runs``: runs of items that were cut, by reason, from logs.
+``saddledoorctl report runs``: interrupted runs of items by reason, read from logs.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from ._log_lines import LogLine, read_lines
 
 
-__all__ = ["Cut", "read_cuts", "read_taken_up", "runs"]
+__all__ = ["Cut", "read_cuts", "count_handovers", "runs"]
 
-#: Why an item left its engine, by what the log tells; anything else stands for itself.
+#: Printed reasons by logged outcome; other outcomes are printed as they are.
 _REASONS = {
     "slow": "pace",
     "stalled": "silence",
@@ -34,27 +34,29 @@
 @dataclass(frozen=True)
 class Cut:
     """
-    A run that was ended before its text was whole.
-
-    The log has the times only of the item that its group waited for last; `back`,
-    `late` and `gained` are none for the others.
-
-    :param events: Of its text at the cut, a count.
-    :param back: From the cut to the next event, in seconds; all attempts of one node
-        are taken to have waited alike.
-    :param late: Whether its group was listed after the objective.
-    :param gained: By all cuts of the item, in seconds: what its other events would have
-        taken at the pace before, less what they took. Only if one node had the item and
-        its cuts have, but for refusals, one reason; told with the first of them, or
-        with the first that a refusal followed.
+    A run that was interrupted before its text was complete.
+
+    The log has times only for the last item of each group; `resume_delay`, `late` and
+    `saved` are None for other items.
+
+    :param events: Events of the text at the cut.
+    :param resume_delay: Time from the cut to the next event, in seconds; all attempts
+        on one node are assumed to have waited equally.
+    :param late: Whether the group was listed after the objective.
+    :param saved: Time saved by all cuts of the item, in seconds: the estimated time of
+        the remaining events at the pace before the first cut, less the time that they
+        took. Set for one cut of an item: the first, or the first slow one that a
+        refusal followed. None if the job changed nodes, if the cuts do not have
+        exactly one reason apart from refusals, or if the first cut had fewer than two
+        events.
     """
 
     reason: str
     item: str
     events: int
-    back: float | None = None
+    resume_delay: float | None = None
     late: bool | None = None
-    gained: float | None = None
+    saved: float | None = None
 
 
 @click.command()
@@ -70,15 +72,17 @@
     if not any(line.fields["event"] == "job_submitted" for line in lines):
         raise click.ClickException("no line tells of a job")
     click.echo(_table(read_cuts(lines, objective)))
-    told = " ".join(f"{name} {n}" for name, n in read_taken_up(lines).items())
-    click.echo(f"\ntaken up after another node: {told}")
+    counts = " ".join(f"{name} {n}" for name, n in count_handovers(lines).items())
+    click.echo(f"\ntaken up after another node: {counts}")
 
 
 def read_cuts(lines: Iterable[LogLine], objective: float) -> list[Cut]:
     """
-    Return the cut runs, item by item, of log lines in the order of their times.
+    Return the interrupted runs, grouped by item.
 
-    :param objective: From a job's submission until a group is late, in seconds.
+    :param lines: Log lines in the order of their times.
+    :param objective: Time after a job's submission at which a group is late, in
+        seconds.
     """
     submitted: dict[str, float] = {}
     cuts: dict[str, list[LogLine]] = defaultdict(list)
@@ -93,7 +97,7 @@
             case "job_taken_up":
                 taken_up[line.fields["job"]] += 1
             case "group_listed":
-                # A node that was cut off lists it once more, in vain.
+                # A partitioned node may list the group again; the first line counts.
                 groups.setdefault((line.fields["job"], line.fields["group"]), line)
     listed = {line.fields["item"]: line for line in groups.values()}
     found: list[Cut] = []
@@ -102,14 +106,16 @@
         if last is not None and last.fields["job"] in submitted:
             late = last.at - submitted[last.fields["job"]] > objective
         one_node = taken_up[own[0].fields["job"]] == 1
-        found += _cuts_of(item, own, last, late, one_node)
+        found += _cuts_of_item(item, own, last, late, one_node)
     return found
 
 
-def read_taken_up(lines: Iterable[LogLine]) -> Counter[str]:
+def count_handovers(lines: Iterable[LogLine]) -> Counter[str]:
     """
-    Count what went from node to node: items, those let go with a line (the others' node
-    was lost), their events, and the events that the log held of all of them.
+    Count the items of jobs that changed nodes.
+
+    :returns: `items`; `let_go`, items with an `item_dropped` line (the others' node
+        crashed); `events`, their events; `kept`, events of all items in the log.
     """
     seen: set[str] = set()
     let_go: dict[str, dict[str, int]] = defaultdict(dict)
@@ -129,7 +135,7 @@
     return counts
 
 
-def _cuts_of(
+def _cuts_of_item(
     item: str,
     own: list[LogLine],
     last: LogLine | None,
@@ -138,12 +144,12 @@
 ) -> list[Cut]:
     reasons = [_reason(line.fields) for line in own]
     kinds = set(reasons) - _REFUSED
-    told_with = 0
+    reported_index = 0
     for index, after in reversed(list(enumerate(reasons[1:]))):
         if reasons[index] == "pace" and after in _REFUSED:
-            # Told apart: it gave up a place and had none.
+            # The item gave up its slot and did not get another.
             reasons[index] = "pace, then refused"
-            told_with = index
+            reported_index = index
     events = [line.fields["events"] for line in own]
     if last is None:
         return [Cut(reasons[i], item, events[i]) for i in range(len(own))]
@@ -151,11 +157,11 @@
     began = last.at - sum(seconds.values())
     wait = seconds["place"] + seconds["first_event"]
     wait /= len(last.fields["engines"])
-    gained = None
+    saved = None
     if one_node and len(kinds) == 1 and events[0] > 1:
         gap = (own[0].at - began - wait) / (events[0] - 1)
         whole = last.at - seconds.get("score", 0.0) - seconds.get("log", 0.0)
-        gained = gap * (last.fields["events"] - events[0]) - (whole - own[0].at)
+        saved = gap * (last.fields["events"] - events[0]) - (whole - own[0].at)
     return [
         Cut(
             reasons[index],
@@ -163,26 +169,26 @@
             events[index],
             wait + max(0.0, began - line.at),
             late,
-            gained if index == told_with else None,
+            saved if index == reported_index else None,
         )
         for index, line in enumerate(own)
     ]
 
 
 def _reason(fields: dict) -> str:
-    told = fields.get("outcome", fields["reason"])
-    if told == "not_started" and fields["reason"].startswith(("weights", "event")):
+    outcome = fields.get("outcome", fields["reason"])
+    if outcome == "not_started" and fields["reason"].startswith(("weights", "event")):
         return "weights"
-    if told == "broken" and fields["reason"] == "silent":
+    if outcome == "broken" and fields["reason"] == "silent":
         return "silence"
-    return _REASONS.get(told, told.replace("_", " "))
+    return _REASONS.get(outcome, outcome.replace("_", " "))
 
 
 def _table(cuts: list[Cut]) -> str:
     """
-    Return a row a reason: cuts, items, cuts of a text with events, those events, cuts
-    whose item its group waited for, late ones of these, mean time until the next event,
-    items whose gain is told, its median, and how many lost.
+    Return a row per reason: cuts, items, cuts of a text with events, those events, cuts
+    of the last item of a group, late ones of these, mean time until the next event,
+    items whose saved time is known, its median, and items with a negative one.
     """
     lines = [
         f"{'REASON':<18} {'CUTS':>5} {'ITEMS':>5} {'BEGUN':>5} {'EVENTS':>6} "
@@ -190,14 +196,14 @@
     ]
     for reason in sorted({cut.reason for cut in cuts}):
         own = [cut for cut in cuts if cut.reason == reason]
-        backs = [cut.back for cut in own if cut.back is not None]
-        gains = [cut.gained for cut in own if cut.gained is not None]
-        back = f"{mean(backs):.2f}" if backs else "-"
-        gained = f"{median(gains):.2f}" if gains else "-"
+        delays = [cut.resume_delay for cut in own if cut.resume_delay is not None]
+        savings = [cut.saved for cut in own if cut.saved is not None]
+        delay = f"{mean(delays):.2f}" if delays else "-"
+        saved = f"{median(savings):.2f}" if savings else "-"
         lines.append(
             f"{reason:<18} {len(own):>5} {len({cut.item for cut in own}):>5} "
             f"{sum(cut.events > 0 for cut in own):>5} {sum(c.events for c in own):>6} "
-            f"{len(backs):>5} {sum(bool(cut.late) for cut in own):>5} {back:>5} "
-            f"{len(gains):>5} {gained:>7} {sum(g < 0 for g in gains):>5}"
+            f"{len(delays):>5} {sum(bool(cut.late) for cut in own):>5} {delay:>5} "
+            f"{len(savings):>5} {saved:>7} {sum(g < 0 for g in savings):>5}"
         )
     return "\n".join(lines)
--- a/packages/saddledoorctl/src/saddledoorctl/_status.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_status.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-``saddledoorctl status``: what the VMs say of themselves.
+``saddledoorctl status``: VMs, back ends and leases, as reported by the daemons.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 import aiohttp
 import click
 
-from ._platform import PlatformAwayError, fetch_any, fetch_json
+from ._platform import PlatformUnavailableError, fetch_each, fetch_json
 
 
 __all__ = ["status"]
 
-EXIT_AWAY = 3
+EXIT_UNAVAILABLE = 3
 
 
 @click.command()
@@ -37,17 +37,19 @@
         raise click.UsageError("name either --vm or --vm-list")
     while True:
         try:
-            views = asyncio.run(_views(address, vm_list))
-        except PlatformAwayError as error:
+            views = asyncio.run(_fetch_views(address, vm_list))
+        except PlatformUnavailableError as error:
             click.echo(str(error), err=True)
-            sys.exit(EXIT_AWAY)
+            sys.exit(EXIT_UNAVAILABLE)
         click.echo(json.dumps(views) if as_json else _render(views))
         if not watch:
             return
         time.sleep(2.0)
 
 
-async def _views(address: str | None, vm_list: str | None) -> dict[str, dict | None]:
+async def _fetch_views(
+    address: str | None, vm_list: str | None
+) -> dict[str, dict | None]:
     async with aiohttp.ClientSession() as session:
         if address is not None:
             names = {address: address}
@@ -55,7 +57,7 @@
             listed = await fetch_json(session, "GET", f"{vm_list}/v1/vms")
             names = {item["http"]: item["vm"] for item in listed["vms"]}
         urls = {f"http://{http}/v1/status": name for http, name in names.items()}
-        answers = await fetch_any(session, urls)
+        answers = await fetch_each(session, urls)
     return {urls[url]: view for url, view in answers.items()}
 
 
@@ -99,7 +101,7 @@
 
 
 def _lease_lines(views: list[dict]) -> list[str]:
-    # The view that has read furthest knows the highest fencing number.
+    # The view with the highest fencing number is the most recent.
     newest: dict[str, dict] = {}
     for view in views:
         for lease in view["leases"]:
--- a/packages/saddledoorctl/src/saddledoorctl/_steps.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_steps.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-``saddledoorctl report steps``: where the time of trainers' steps goes, from logs.
+``saddledoorctl report steps``: the time of trainers' steps by phase, read from logs.
 """
 
 from __future__ import annotations
@@ -21,16 +21,18 @@
 
 __all__ = ["StepRow", "read_steps", "steps"]
 
-#: Phases of an item in the order in which it goes through them.
+#: Phases of an item, in order.
 _PHASES = ("place", "first_event", "events", "pause", "score", "log")
 
 
 @dataclass
 class _Step:
     """
-    What the lines say of one job.
+    Log lines of one job.
 
-    :param groups: By group, the line of the item that made it whole.
+    :param line: The `job_submitted` line.
+    :param groups: `group_listed` line of each complete group, by group.
+    :param ended_at: Time of the first acknowledged end, in seconds; None before.
     """
 
     line: LogLine
@@ -41,17 +43,18 @@
 @dataclass(frozen=True)
 class StepRow:
     """
-    A step and the item that it waited for.
-
-    :param submitted_at: In seconds.
-    :param took: From its first submission to its end, in seconds; none if it has none.
-    :param whole: Groups with a result for every item, a count.
-    :param wanted: Groups that the trainer waits for, a count.
-    :param events: Of the last item of the last group waited for, a count.
-    :param attempts: Engines that this item was sent to, a count.
-    :param before: From the submission until it was taken up, in seconds.
-    :param seconds: Of that item, by phase.
-    :param after: From its result in the log to the step's end, in seconds.
+    A step and the last item that it waited for.
+
+    :param submitted_at: Time of the first submission, in seconds.
+    :param took: Time from the first submission to the end, in seconds; None if the step
+        has not ended.
+    :param whole: Number of complete groups.
+    :param wanted: Number of groups that the trainer waits for.
+    :param events: Number of events of the last item of the last group waited for.
+    :param attempts: Number of engines that this item was sent to.
+    :param before: Time from the submission until a node started the item, in seconds.
+    :param seconds: Time of the item by phase, in seconds.
+    :param after: Time from the item's result in the log to the step's end, in seconds.
     """
 
     model: str
@@ -86,15 +89,15 @@
             click.echo(json.dumps(vars(row)))
         return
     click.echo(_table(rows))
-    click.echo(_sums(rows))
-    click.echo(_endings(lines))
+    click.echo(_phase_means(rows))
+    click.echo(_failed_attempts(lines))
 
 
 def read_steps(lines: Iterable[tuple[float, dict]]) -> list[StepRow]:
     """
-    Work the steps out of log lines in the order of their times.
+    Return a row for each step, sorted by model and step.
 
-    :param lines: Times in seconds, and the lines' fields.
+    :param lines: Time in seconds and fields of each log line, in the order of times.
     """
     found: dict[str, _Step] = {}
     for at, fields in lines:
@@ -102,24 +105,24 @@
         if event == "job_submitted" and fields["outcome"] == "done":
             found.setdefault(job, _Step(LogLine(at, fields)))
         elif job in found:
-            _take(found[job], LogLine(at, fields))
+            _add_line(found[job], LogLine(at, fields))
     rows = [_row(step) for step in found.values()]
     return sorted(rows, key=lambda row: (row.model, row.step))
 
 
-def _take(step: _Step, line: LogLine) -> None:
+def _add_line(step: _Step, line: LogLine) -> None:
     if line.fields["event"] == "group_listed":
-        # A node that was cut off may list it again, in vain.
+        # A partitioned node may list the group again; the first line counts.
         step.groups.setdefault(line.fields["group"], line)
     elif line.fields["event"] == "job_ended" and line.fields["acknowledged"]:
-        # A trainer that saw no answer ends its job again.
+        # A trainer that got no answer repeats the request; the first end counts.
         step.ended_at = line.at if step.ended_at is None else step.ended_at
 
 
 def _row(step: _Step) -> StepRow:
     fields, began = step.line.fields, step.line.at
     ended = step.ended_at
-    groups = _whole_groups(step)
+    groups = _complete_groups(step)
     common = {
         "model": fields["model"],
         "step": fields["step"],
@@ -143,9 +146,9 @@
     )
 
 
-def _whole_groups(step: _Step) -> list[LogLine]:
+def _complete_groups(step: _Step) -> list[LogLine]:
     """
-    Return the line of each whole group, in the order in which they became whole.
+    Return the line of each complete group, in the order of completion.
     """
     return sorted(step.groups.values(), key=lambda line: line.at)
 
@@ -167,7 +170,7 @@
     return "\n".join(lines)
 
 
-def _sums(rows: list[StepRow]) -> str:
+def _phase_means(rows: list[StepRow]) -> str:
     """
     Return the mean seconds of a step by phase, for each model.
     """
@@ -179,14 +182,14 @@
         parts = {"before": mean(row.before for row in own)}
         parts |= {p: mean(row.seconds.get(p, 0.0) for row in own) for p in _PHASES}
         parts["after"] = mean(row.after for row in own)
-        told = " ".join(f"{name} {value:.2f}" for name, value in parts.items())
-        lines.append(f"{model:<14} {len(own):>3} steps  {told}")
+        phases = " ".join(f"{name} {value:.2f}" for name, value in parts.items())
+        lines.append(f"{model:<14} {len(own):>3} steps  {phases}")
     return "\n".join(lines)
 
 
-def _endings(lines: list[LogLine]) -> str:
+def _failed_attempts(lines: list[LogLine]) -> str:
     """
-    Return how the attempts that did not bring an item home ended, as counts.
+    Return the number of failed attempts by outcome and reason.
     """
     failed = [
         line.fields for line in lines if line.fields["event"] == "item_attempt_failed"
@@ -195,6 +198,6 @@
         (fields["outcome"], re.sub(r"\d+(\.\d+)?", "N", fields["reason"]))
         for fields in failed
     )
-    told = ["", f"attempts of items that ended early: {len(failed)}"]
-    told += [f"{n:>6}  {outcome}: {why}" for (outcome, why), n in counts.most_common()]
-    return "\n".join(told)
+    table = ["", f"attempts of items that ended early: {len(failed)}"]
+    table += [f"{n:>6}  {outcome}: {why}" for (outcome, why), n in counts.most_common()]
+    return "\n".join(table)
--- a/tests/guard_rows/guard.py
+++ b/tests/guard_rows/guard.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a guard is, and where things are.
+The class of a guard, and the paths that rows use.
 """
 
 from __future__ import annotations
@@ -80,9 +80,13 @@
 @dataclass(frozen=True)
 class Guard:
     """
-    A guard, how it is taken out, and the test that has to fail then.
+    A guard in the source, and the test that must fail when it is removed.
 
-    :param test: File and expression of test names.
+    :param name: What the guard ensures; `tests/guards.py` selects rows by its words.
+    :param path: File of the guard.
+    :param before: Text with the guard; occurs exactly once in the file.
+    :param after: Text that replaces it, without the guard.
+    :param test: Test file, and a `-k` expression that selects tests in it.
     """
 
     name: str
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-Takes one guard at a time out of a scratch copy and runs the test that must notice.
+Removes one guard at a time from a scratch copy and runs the test that must fail.
 
-A guard that no test misses is either not tested or not needed.
+A guard whose removal fails no test is either untested or unnecessary.
 """
 
 from __future__ import annotations
@@ -28,9 +28,10 @@
 
 def is_noticed(guard: Guard) -> bool:
     """
-    Tell whether the guard's test fails without it.
+    Return whether the guard's test fails without the guard.
 
-    :raises ValueError: If the guard's text does not stand once in its file.
+    :raises ValueError: If the guard's text does not occur exactly once in its file, or
+        if pytest ends with an error other than failed tests.
     """
     change = (guard.path, guard.before, guard.after)
     with scratch_copy(guard.name, [change]) as (copy, environment):
@@ -42,7 +43,7 @@
             capture_output=True,
             check=False,
         )
-        # 1 is pytest's status for failed tests; anything else is a fault of the table.
+        # pytest exits with 1 for failed tests; any other error is a fault of the row.
         if done.returncode not in (0, 1):
             raise ValueError(f"{guard.name}: pytest ended with {done.returncode}")
         return done.returncode == 1
@@ -53,10 +54,10 @@
     name: str, changes: Iterable[tuple[str, str, str]]
 ) -> Iterator[tuple[Path, dict[str, str]]]:
     """
-    Copy the code and change it; with the environment that makes programs use the copy.
+    Yield a changed copy of the code, and the environment in which programs import it.
 
-    :param changes: Path, text before and text after of each.
-    :raises ValueError: If a text does not stand once in its file.
+    :param changes: Path, text to replace and its replacement, for each change.
+    :raises ValueError: If a text does not occur exactly once in its file.
     """
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
@@ -78,8 +79,8 @@
     """
     Print a row per guard.
 
-    :param words: Only guards whose name holds one of them; all without any.
-    :returns: 0 if every removal was noticed.
+    :param words: Selects the guards whose name contains one of them; all if empty.
+    :returns: 0 if every removal fails its test, else 1.
     """
     good = True
     for guard in GUARDS:
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -4,8 +4,8 @@
 Compares two checkouts on the same days and seeds, and prints a table for a page.
 
 ``python tests/pairs.py --bench PROGRAM --before DIR --after DIR --site FILE ...``: the
-program plays a day of a deployment in the checkout that it is started in, and writes
-its report. Processor time is not charged, so that a pair differs by the code alone.
+program is started in each checkout, runs a day of a deployment and writes a report. It
+runs with ``--no-cpu``, so that a pair differs by the code alone.
 """
 
 from __future__ import annotations
@@ -25,18 +25,19 @@
 
 __all__ = ["Pair", "Play", "Summary", "render", "summarise"]
 
-#: Standard errors on either side of a mean that 95 of 100 intervals need, for as many
-#: pairs as the index says (Student's t).
-_WIDTHS = (math.inf, math.inf, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
-_WIDTH_BEYOND = 2.23
+#: Half the width of a mean's 95 % confidence interval, in standard errors, by number of
+#: pairs (Student's t).
+_QUANTILES = (math.inf, math.inf, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
+_QUANTILE_BEYOND = 2.23
 
 
 @dataclass(frozen=True)
 class Play:
     """
-    One day as one checkout played it.
+    The result of one checkout for one day.
 
-    :param broken: Rules that were broken, a count.
+    :param worth: The report's score ``G``.
+    :param broken: Number of broken rules.
     """
 
     worth: float
@@ -63,11 +64,11 @@
 @dataclass(frozen=True)
 class Summary:
     """
-    What the pairs of a deployment say.
+    Statistics of a deployment's pairs.
 
-    :param interval: Half the width of the 95 % interval of the mean; infinite for fewer
-        than two pairs.
-    :param up: Pairs with a gain above 0, a count.
+    :param interval: Half the width of the mean gain's 95 % confidence interval;
+        infinite for fewer than two pairs.
+    :param up: Number of pairs with a gain above 0.
     """
 
     before: float
@@ -81,9 +82,9 @@
 
 def summarise(pairs: Iterable[Pair]) -> Summary:
     """
-    Return means and what they are worth.
+    Return the means of pairs and the confidence interval of the gain.
 
-    :raises ValueError: Without any pair.
+    :raises ValueError: If there are no pairs.
     """
     found = list(pairs)
     if not found:
@@ -91,8 +92,10 @@
     gains = [pair.gain for pair in found]
     interval = math.inf
     if len(found) > 1:
-        width = _WIDTHS[len(found)] if len(found) < len(_WIDTHS) else _WIDTH_BEYOND
-        interval = width * statistics.stdev(gains) / math.sqrt(len(found))
+        quantile = (
+            _QUANTILES[len(found)] if len(found) < len(_QUANTILES) else _QUANTILE_BEYOND
+        )
+        interval = quantile * statistics.stdev(gains) / math.sqrt(len(found))
     return Summary(
         statistics.fmean(pair.before.worth for pair in found),
         statistics.fmean(pair.after.worth for pair in found),
@@ -113,8 +116,8 @@
     for pair in pairs:
         by_site[pair.site].append(pair)
         lines.append(
-            f"| {pair.site} | {pair.day}, {pair.seed} | {_told(pair.before)}"
-            f" | {_told(pair.after)} | {pair.gain:+.3f} |"
+            f"| {pair.site} | {pair.day}, {pair.seed} | {_format_result(pair.before)}"
+            f" | {_format_result(pair.after)} | {pair.gain:+.3f} |"
         )
     for site, found in by_site.items():
         s = summarise(found)
@@ -125,7 +128,7 @@
     return "\n".join(lines)
 
 
-def _told(play: Play) -> str:
+def _format_result(play: Play) -> str:
     return f"{play.worth:.3f}" + (f", {play.broken} broken" if play.broken else "")
 
 
@@ -157,10 +160,10 @@
     jobs: int,
     why: str,
 ) -> list[Pair]:
-    places = asyncio.Semaphore(jobs)
+    slots = asyncio.Semaphore(jobs)
 
     async def play(checkout: Path, site: Path, day: str, seed: int) -> Play:
-        async with places:
+        async with slots:
             return await _play(bench, checkout, site, day, seed, why)
 
     async def pair(site: Path, day: str, seed: int) -> Pair:
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -18,7 +18,7 @@
 @pytest.fixture(scope="module")
 def bed():
     """
-    One VM whose totals for the burn report are written often.
+    One VM that writes its totals for the burn report every half second.
     """
     shape = Shape(
         vms={"dc-a": 1},
@@ -42,7 +42,7 @@
 
 def test_what_show_prints_can_be_edited_and_published(bed):
     """
-    The file names the offset it comes from, so publishing needs no other word.
+    The file names the offset that it was edited from, so `--base` is not needed.
     """
     text = bed.ctl("config", "show", *_log(bed)).stdout
     changed = text.replace("max_queue: ", "max_queue: 1")
@@ -56,7 +56,7 @@
 
 def test_publishing_without_a_base_is_refused(bed):
     """
-    A file that does not say what it was edited from changes nothing.
+    The file does not name the offset that it was edited from.
     """
     done = bed.ctl(
         "config", "publish", _write(bed, yaml.safe_dump(bed.deployment)), *_log(bed)
@@ -67,7 +67,7 @@
 
 def test_a_file_with_one_bad_field_changes_nothing(bed):
     """
-    The command says where, exits with 2, and nothing reaches the log.
+    The command prints the field and line and exits with 2; the log is unchanged.
     """
     before = bed.ctl("config", "history", *_log(bed), "--json").stdout
     bad = {**bed.deployment, "trainers": [{"name": "x"}]}
@@ -78,7 +78,7 @@
     assert bed.ctl("config", "history", *_log(bed), "--json").stdout == before
 
 
-def test_history_tells_what_became_of_each_proposal(bed):
+def test_history_lists_the_state_of_each_proposal(bed):
     """
     A proposal edited from an old offset is listed as lost.
     """
@@ -88,9 +88,9 @@
     assert states[0] == "accepted" and states[-1] == "lost"
 
 
-def test_a_log_that_does_not_answer_has_its_own_exit_status(bed):
+def test_an_unreachable_log_has_its_own_exit_status(bed):
     """
-    Nothing listens there: the command says so, without a traceback.
+    Nothing listens on the port; the command exits with 3 and without a traceback.
     """
     done = bed.ctl("config", "show", "--log", "http://127.0.0.1:1")
     assert done.returncode == 3
@@ -99,7 +99,7 @@
 
 def test_status_shows_vms_back_ends_and_lease_holders(bed):
     """
-    For people and as JSON, from one VM or from the platform's list.
+    As a table and as JSON, from one VM or from the platform's list.
     """
     words = ("dc-a-vm1", "engine-1", "model-a=1", "desk-1", "control/dc-a")
 
@@ -107,7 +107,7 @@
         text = bed.ctl("status", *where).stdout
         return all(word in text for word in words)
 
-    # The lease is in the log before the back ends have been asked for the first time.
+    # The lease is written to the log before the first poll of the back ends.
     until(lambda: shows_all("--vm-list", f"http://{bed.vm_list}"))
     assert shows_all("--vm", bed.vms["dc-a-vm1"].http)
     done = bed.ctl("status", "--vm", bed.vms["dc-a-vm1"].http, "--json")
@@ -117,7 +117,7 @@
 
 def test_the_burn_report_has_rows_for_partners_and_pools(bed):
     """
-    Totals of the VM reach the log, and the report works rates out of them.
+    The VM writes its totals to the log, and the report computes rates from them.
     """
     objectives = [
         {"name": "fast", "kind": "latency", "threshold": 5.0, "target": 0.9},
@@ -137,7 +137,7 @@
         return {(r["objective"], r["subject"]): r for r in found}
 
     def both_counted() -> dict | None:
-        # A record may be written between the two requests.
+        # Totals may be written between the two requests.
         found = rows()
         row = found.get(("refused", "partner-a"))
         return found if row and row["total"] == 2 else None
@@ -150,6 +150,6 @@
 
 def test_an_idle_daemon_stays_within_its_memory(bed):
     """
-    The target gives control 128 MB on a VM.
+    The limit for the daemon is 128 MB on a VM.
     """
     assert resident_mb(bed.process("dc-a-vm1").popen.pid) < 128
--- a/tests/test_cut_runs.py
+++ b/tests/test_cut_runs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The report of runs: what the logs tell of those that were cut.
+``saddledoorctl report runs``: interrupted runs, read from logs.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from saddledoorctl._cli import main
 from saddledoorctl._log_lines import LogLine
-from saddledoorctl._runs import read_cuts, read_taken_up
+from saddledoorctl._runs import count_handovers, read_cuts
 
 
 OBJECTIVE = 7.5
@@ -23,7 +23,7 @@
     return LogLine(at, {"event": event, "job": "j1", **fields})
 
 
-def _begun() -> list[LogLine]:
+def _start_lines() -> list[LogLine]:
     return [
         _line(10.0, "job_submitted", outcome="done", model="m", step=1),
         _line(10.0, "job_taken_up", items=2, kept_events=0),
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "reason", "told"),
+    ("outcome", "reason", "expected"),
     [
         ("slow", "e2 is faster", "pace"),
         ("stalled", "engine silent", "silence"),
@@ -69,84 +69,83 @@
         ("failed", "status 500", "failed"),
     ],
 )
-def test_each_end_of_an_attempt_has_its_reason(outcome, reason, told):
+def test_each_failed_attempt_has_its_reason(outcome, reason, expected):
     """
-    Silence of one stream and of a whole engine are one reason.
+    A silent stream and a silent engine have the same reason.
     """
-    lines = [*_begun(), _cut(11.0, 5, outcome, reason)]
+    lines = [*_start_lines(), _cut(11.0, 5, outcome, reason)]
     (cut,) = read_cuts(lines, OBJECTIVE)
-    assert (cut.reason, cut.events, cut.back) == (told, 5, None)
+    assert (cut.reason, cut.events, cut.resume_delay) == (expected, 5, None)
 
 
-def test_a_move_is_told_with_what_it_gained():
+def test_a_move_is_reported_with_the_time_that_it_saved():
     """
-    Ten gaps of 0.2 s before it and ten of 0.1 s after it, and 0.5 s until the next
-    event.
+    Ten events at 0.2 s before the move, ten at 0.1 s after it, and 0.5 s without any.
     """
     lines = [
-        *_begun(),
+        *_start_lines(),
         _cut(12.5, 11, "slow", "e2 is faster"),
         _listed(14.0, 21, 2, first_event=1.0, events=3.0),
     ]
     (cut,) = read_cuts(lines, OBJECTIVE)
-    assert (cut.reason, cut.back, cut.late) == ("pace", 0.5, False)
-    assert cut.gained == pytest.approx(10 * 0.2 - 1.5)
+    assert (cut.reason, cut.resume_delay, cut.late) == ("pace", 0.5, False)
+    assert cut.saved == pytest.approx(10 * 0.2 - 1.5)
 
 
-def test_a_move_to_an_engine_that_refuses_is_told_apart():
+def test_a_move_to_an_engine_that_refuses_has_its_own_reason():
     """
-    With the gain of all that the item went through, so it can be set against the rest.
+    The time saved covers all cuts of the item, so it compares with other moves.
     """
     lines = [
-        *_begun(),
+        *_start_lines(),
         _cut(12.0, 11, "slow", "e2 is faster"),
         _cut(12.1, 11, "not_started", "status 503"),
         _listed(18.0, 21, 3, events=8.0),
     ]
     moved, refused = read_cuts(lines, OBJECTIVE)
     assert (moved.reason, refused.reason) == ("pace, then refused", "refused")
-    assert (moved.late, refused.gained) == (True, None)
-    assert moved.gained == pytest.approx(10 * 0.2 - 6.0)
+    assert (moved.late, refused.saved) == (True, None)
+    assert moved.saved == pytest.approx(10 * 0.2 - 6.0)
 
 
-def test_a_group_that_is_listed_in_vain_is_not_counted():
+def test_a_group_that_is_listed_twice_is_counted_once():
     """
-    By a node that was cut off while another one ran its share.
+    A partitioned node lists it again while another node holds its share.
     """
     lines = [
-        *_begun(),
+        *_start_lines(),
         _cut(11.0, 5, "slow", "e2 is faster"),
         _cut(11.0, 5, "slow", "e2 is faster", item="i2"),
         _listed(14.0, 21, 2, events=3.0),
     ]
-    in_vain = _listed(19.0, 21, 2, events=8.0)
-    in_vain.fields["item"] = "i2"
-    told = {cut.item: cut.late for cut in read_cuts([*lines, in_vain], OBJECTIVE)}
-    assert told == {"i1": False, "i2": None}
+    repeated = _listed(19.0, 21, 2, events=8.0)
+    repeated.fields["item"] = "i2"
+    late = {cut.item: cut.late for cut in read_cuts([*lines, repeated], OBJECTIVE)}
+    assert late == {"i1": False, "i2": None}
 
 
-def test_what_goes_from_node_to_node_is_counted_with_its_events():
+def test_items_that_change_nodes_are_counted_with_their_events():
     """
-    An item without a line was at a node that was lost; no gain is told of either, since
-    the next node's first event is not the text's.
+    An item without an `item_dropped` line was on a node that crashed. No saved time is
+    reported: the next node's first event is not the first of the text.
     """
     lines = [
-        *_begun(),
+        *_start_lines(),
         _line(12.0, "item_dropped", item="i1", reason="handed_over", events=11),
         _line(12.5, "job_taken_up", items=2, kept_events=9),
         _listed(14.0, 21, 1, place=0.25, events=1.0),
     ]
     (cut,) = read_cuts(lines, OBJECTIVE)
-    assert (cut.reason, cut.back, cut.gained) == ("handed over", 1.0, None)
+    assert (cut.reason, cut.resume_delay, cut.saved) == ("handed over", 1.0, None)
     counts = {"items": 2, "let_go": 1, "events": 11, "kept": 9}
-    assert read_taken_up(lines) == counts
+    assert count_handovers(lines) == counts
 
 
 def test_the_report_has_a_row_for_each_reason(tmp_path):
     """
-    And refuses a file that tells of no job, which would look like a calm day.
+    A file without any job is refused: it would look like a period without failures.
     """
-    lines = [*_begun(), _cut(11.0, 5, "slow", "e2 is faster")]
+    lines = [*_start_lines(), _cut(11.0, 5, "slow", "e2 is faster")]
     file = tmp_path / "vm.log"
     file.write_text(
         "".join(f"{line.at} vm-1 {json.dumps(line.fields)}\n" for line in lines)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What the docs state and the code decides is the same.
+The docs agree with the code.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 _ROOT = Path(__file__).parent.parent
-#: Fields of a day's entry that name something of a site.
+#: Fields of a day's entry that name a part of a deployment.
 _NAMED = {"class", "region", "service", "to_zone", "zone"}
 
 
-def test_the_table_of_codes_is_the_codes_own():
+def test_the_table_of_codes_matches_the_code():
     """
-    docs/CALLERS.md has exactly one row per code, as the code describes it.
+    docs/CALLERS.md has exactly one row per result code, with the code's description.
     """
     text = (_ROOT / "docs" / "CALLERS.md").read_text()
     told = [line for line in text.splitlines() if re.match(r"\| \d+ \|", line)]
@@ -38,20 +38,20 @@
 
 def test_every_promise_has_its_row():
     """
-    docs/PROMISES.md names each machine that there is.
+    docs/PROMISES.md names every state machine in tests/proofs.
     """
     text = (_ROOT / "docs" / "PROMISES.md").read_text()
     machines = {p.stem for p in (_ROOT / "tests" / "proofs").glob("[a-z]*.py")}
     assert [name for name in sorted(machines) if f"`{name}`" not in text] == []
     assert len(machines) == len(PROOFS) + len(GATEWAY_PROOFS)
-    # The own deployment's promises are also replayed from traces.
+    # The promises in PROOFS are also checked by replaying traces.
     assert {proof.name for proof in PROOFS} == set(CHECKS)
 
 
 @pytest.mark.parametrize("code", ResultCode)
 def test_the_families_do_not_mix(code):
     """
-    "Not run" cannot carry a code that means otherwise, nor the other way round.
+    NotRun and OutcomeUnknown accept only the codes of their own family.
     """
     if code.family is not Family.NOT_RUN:
         with pytest.raises(ValueError):
@@ -63,8 +63,8 @@
 
 def test_every_day_of_our_own_is_described_and_names_no_site():
     """
-    deploy/days/README.md has one row per file; services, data centres and kinds of
-    request are named by their place.
+    deploy/days/README.md has one row per file; each file refers to services, data
+    centres and kinds of request by their index.
     """
     days = _ROOT / "deploy" / "days"
     rows = re.findall(r"^\| `([a-z-]+)` \|", (days / "README.md").read_text(), re.M)
--- a/tests/test_guard_rows.py
+++ b/tests/test_guard_rows.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The table of guards fits the code, so that taking one out takes something out.
+The table of guards matches the source, so that every removal changes the code.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 _ROOT = Path(__file__).parent.parent
 
 
-def test_each_guard_stands_once_in_its_file():
+def test_each_guard_occurs_once_in_its_file():
     """
-    And its test in a file that is there.
+    The file of its test exists, and the replacement differs from the guard.
     """
     for guard in GUARDS:
         text = (_ROOT / guard.path).read_text()
@@ -28,7 +28,7 @@
 
 def test_no_two_guards_share_a_name():
     """
-    A row is chosen by the words of its name.
+    Guards are selected by words of their names.
     """
     names = Counter(guard.name for guard in GUARDS)
     assert names.most_common(1)[0][1] == 1
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The comparison of two checkouts: what a table of pairs says.
+The comparison of two checkouts: its statistics and its table.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
     return Pair(**{**fields, **changes}, before=Play(before), after=Play(after))
 
 
-def test_pairs_are_told_by_their_mean_gain_and_its_interval():
+def test_pairs_are_summarised_by_their_mean_gain_and_its_interval():
     """
-    Two pairs say little: the interval is wide.
+    The confidence interval of two pairs is wide.
     """
     summary = summarise([_pair(0.8, 0.9), _pair(0.6, 0.68)])
     assert summary.gain == pytest.approx(0.09)
@@ -27,16 +27,16 @@
     assert summary.interval == pytest.approx(12.71 * 0.01, rel=1e-3)
 
 
-def test_one_pair_says_nothing_of_chance():
+def test_one_pair_has_an_infinite_interval():
     """
-    Its interval has no end.
+    One value has no standard deviation.
     """
     assert summarise([_pair(0.8, 0.9)]).interval == math.inf
 
 
-def test_without_a_pair_there_is_nothing_to_say():
+def test_a_summary_without_pairs_is_refused():
     """
-    Not a gain of 0.
+    It raises an error instead of reporting a gain of 0.
     """
     with pytest.raises(ValueError, match="no pair"):
         summarise([])
@@ -44,7 +44,7 @@
 
 def test_the_table_has_a_row_for_each_pair_and_each_deployment():
     """
-    Broken rules stand beside the worth that they make void.
+    The number of broken rules is shown beside the score that they invalidate.
     """
     broken = Pair("b", "trouble-1", 2, Play(0.5), Play(0.7, 3))
     lines = render([_pair(0.8, 0.9), _pair(0.8, 0.7, seed=2), broken]).splitlines()
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The steps report: what the logs tell of where a step's time went.
+``saddledoorctl report steps``: the time of each step by phase, read from logs.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
     return at, {"event": "job_ended", "job": "j1", "acknowledged": True}
 
 
-def test_a_step_is_told_by_the_last_group_that_its_trainer_waits_for():
+def test_a_step_is_reported_by_the_last_group_that_its_trainer_waits_for():
     """
-    A later group, which nobody waited for, is left out.
+    Groups listed after the number that the trainer wants are left out.
     """
     lines = [
         _submitted(10.0),
@@ -61,18 +61,17 @@
     assert round(row.after, 3) == 0.5
 
 
-def test_a_step_without_a_whole_group_is_told_too():
+def test_a_step_without_a_complete_group_is_reported():
     """
-    Its trainer gave it up, or is still waiting.
+    Its trainer has cancelled the job or is still waiting.
     """
     (row,) = read_steps([_submitted(10.0)])
     assert (row.took, row.whole, row.seconds) == (None, 0, {})
 
 
-def test_the_report_reads_lines_that_a_collector_has_timed(tmp_path):
+def test_the_report_reads_lines_with_a_collectors_timestamp(tmp_path):
     """
-    Whatever stands before a line's JSON but for its time is passed over, and so is what
-    is no JSON.
+    Other text before a line's JSON is ignored, and so are lines without valid JSON.
     """
     lines = [_submitted(10.0), _listed(12.0, "g", 0.25, 1.4), _ended(12.5)]
     file = tmp_path / "vm.log"
@@ -87,7 +86,7 @@
 
 def test_a_file_without_jobs_is_refused(tmp_path):
     """
-    An empty table would look like a calm day.
+    An empty table would look like a period without any failures.
     """
     file = tmp_path / "vm.log"
     file.write_text("nothing\n")
