--- a/packages/saddledoorctl/src/saddledoorctl/_runs.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_runs.py
@@ -17,7 +17,7 @@
 from ._log_lines import LogLine, read_lines
 
 
-__all__ = ["Cut", "read_cuts", "count_handovers", "runs"]
+__all__ = ["Cut", "count_handovers", "read_cuts", "runs"]
 
 #: Printed reasons by logged outcome; other outcomes are printed as they are.
 _REASONS = {
--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -16,7 +16,7 @@
 
 GUARDS = (
     Guard(
-        "a barred request reaches no engine",
+        "a quarantined request reaches no engine",
         f"{DAEMON}/serving/engine_choice.py",
         """        if poison_status is PoisonStatus.QUARANTINED:
             return None
@@ -32,7 +32,7 @@
         ("tests/adapter/test_edge_unreached_engines.py", "did_not_reach"),
     ),
     Guard(
-        "a barred item reaches no engine",
+        "a quarantined item reaches no engine",
         f"{DAEMON}/jobs/runner.py",
         """                self._log_barred(run)
                 continue
@@ -41,7 +41,7 @@
         (CRASHING, "item_that_ends_engines"),
     ),
     Guard(
-        "ends are told to all nodes",
+        "engine crashes are reported to all nodes",
         _WATCH,
         "            await append_until_acknowledged("
         "self._log, CONTROL_STREAM, records)\n",
@@ -49,28 +49,28 @@
         (CRASHING, "stood_still"),
     ),
     Guard(
-        "ends outlive all nodes",
+        "engine crashes are known after a restart of all nodes",
         f"{DAEMON}/cluster/leases.py",
         "        self._other(record)\n",
         "",
         (CRASHING, "loss_of_all_edges"),
     ),
     Guard(
-        "a node that stood still asks before it judges",
+        "a paused node refreshes known crashes before it judges",
         _WATCH,
         "        return boot_time() - self._leases.asked_at <= _STALE\n",
         "        return True\n",
         (CRASHING, "stood_still"),
     ),
     Guard(
-        "a cause was there once without another suspect",
+        "a cause has had a crash without another suspect",
         _FOLD,
         "if all(counts[other] == 1 for other in end.requests - {key})\n",
         "if counts\n",
         (CRASH_FOLD, "always_together"),
     ),
     Guard(
-        "what a barred request explains speaks against nobody",
+        "an explained crash blames no other request",
         _FOLD,
         "            self._blame = counts\n",
         "            self._blame = self._blame if self._barred else counts\n",
@@ -84,35 +84,35 @@
         (CRASH_FOLD, "an_answer_clears"),
     ),
     Guard(
-        "what is known of ends is bounded in time",
+        "known engine crashes are bounded in time",
         _FOLD,
         "            if not too_many and now - oldest.told_at <= _REMEMBER:\n",
         "            if not too_many:\n",
         (CRASH_FOLD, "bounded_in_time"),
     ),
     Guard(
-        "what is known of ends is bounded in count",
+        "known engine crashes are bounded in count",
         _FOLD,
         "            too_many = len(self._ends) > _MOST_ENDS\n",
         "            too_many = False\n",
         (CRASH_FOLD, "bounded_in_count"),
     ),
     Guard(
-        "only an engine that is gone has ended",
+        "only an engine that has exited has crashed",
         _WATCH,
         "        if await self._engines.has_exited(engine):\n",
         "        if await self._engines.has_exited(engine) or True:\n",
         (CRASH_WATCH, "still_serves"),
     ),
     Guard(
-        "an engine that ran a request for long is not ended by it",
+        "a request that ran for long is not blamed for a crash",
         _WATCH,
         "                if run.began <= ended_at <= run.began + _SOON\n",
         "                if run.began <= ended_at\n",
         (CRASH_WATCH, "ran_for_long"),
     ),
     Guard(
-        "what an engine has answered is not blamed for its end",
+        "an answered request is not blamed for a crash",
         _WATCH,
         """        self._life.runs.discard(self._run)
         self._watch.note_survived(self._run.key)
@@ -121,14 +121,14 @@
         (CRASH_WATCH, "answered_before_its_end"),
     ),
     Guard(
-        "a timer that fires after a standstill shows nothing",
+        "a timer that fires after a process pause clears nothing",
         _WATCH,
         "        if boot_time() - run.began <= _SOON + _ON_TIME:\n",
         "        if run.began:\n",
         (CRASH_WATCH, "standstill"),
     ),
     Guard(
-        "what waits for the store is bounded",
+        "the queue of records for the store is bounded",
         _WATCH,
         "deque[_Record](maxlen=_MOST_WAITING)",
         "deque[_Record]()",
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -34,7 +34,7 @@
         (JOBS, "long_silence"),
     ),
     Guard(
-        "whoever stood still asks for the log's end first",
+        "a paused process reads the log's end first",
         f"{DAEMON}/jobs/log_freshness.py",
         "if view.synced_at < view.resumed_at:",
         "if False:",
@@ -55,28 +55,28 @@
         (PASS, "no_second_instance"),
     ),
     Guard(
-        "what was decided on long ago is not sent",
+        "a request decided too long ago is not sent",
         f"{DAEMON}/backends/timely.py",
         "        if _is_too_late():\n",
         "        if False:\n",
         (TIMELY, "long_ago"),
     ),
     Guard(
-        "a decision's age counts for what was decided only",
+        "a decision's age applies to its own request only",
         f"{DAEMON}/backends/timely.py",
         "_decided_at.reset(token)",
         "pass",
         ("tests/adapter/test_engine_report.py", "asked_later"),
     ),
     Guard(
-        "nothing is written for what was decided on long ago",
+        "no byte is written for a decision too long ago",
         f"{DAEMON}/backends/timely.py",
         "if not _is_too_late():",
         "if True:",
         (TIMELY, "before_its_first_byte"),
     ),
     Guard(
-        "a standstill is noticed when it is asked about",
+        "a process pause is detected when it is queried",
         f"{DAEMON}/process_pauses.py",
         """        self._look()
         return self._ended_at""",
@@ -84,14 +84,14 @@
         (LOG_FRESHNESS, "before_any_timer"),
     ),
     Guard(
-        "items that cannot be read are read ever more seldom",
+        "reads of unreadable items back off",
         f"{DAEMON}/jobs/item_loader.py",
         "pause = min(_PAUSE_MOST, 2 * pause)",
         "pass",
         (UNREADABLE, "told_of_once"),
     ),
     Guard(
-        "nothing is taken up before the replay's end",
+        "no job is resumed before the replay's end",
         f"{DAEMON}/jobs/runner.py",
         "if not self._jobs.caught_up:",
         "if False:",
@@ -147,7 +147,7 @@
         ("tests/test_attempt.py", "short_text"),
     ),
     Guard(
-        "what is refused of a text is given again, whole",
+        "a text whose part is refused is appended again whole",
         f"{DAEMON}/jobs/item_run.py",
         '            self.kept, self.kept_chain = 0, ""\n',
         "            pass\n",
@@ -213,7 +213,7 @@
         (DECISIONS, "opened_twice"),
     ),
     Guard(
-        "a reader gets what was listed just now",
+        "a reader gets results that were just listed",
         f"{DAEMON}/jobs/service.py",
         "if self._gather() and self.store_reached:",
         "if False:",
@@ -227,7 +227,7 @@
         ("tests/test_spread_texts.py", "spread_is_read"),
     ),
     Guard(
-        "a page that fails keeps back only what stands behind it",
+        "a page that fails withholds only the texts after it",
         f"{DAEMON}/jobs/texts.py",
         "                if not read:\n                    raise\n",
         "                raise\n",
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -23,7 +23,7 @@
 
 GUARDS = (
     Guard(
-        "no engine is shown a key, nor the caller's own word",
+        "no engine gets a key or a caller's workspace header",
         "platform/engines.py",
         "if pair[0].lower() not in own",
         "if True",
@@ -37,14 +37,14 @@
         (KEYS, "items_run_for"),
     ),
     Guard(
-        "a key that others may know by now is not called unknown",
+        "a key that other nodes may know is not called unknown",
         f"{LIBRARY}/_workspaces.py",
         "if age > bounds.propagation_limit:",
         "if False:",
         (KEYS, "calls_no_key_unknown"),
     ),
     Guard(
-        "with strict revocation old news serves nobody",
+        "strict revocation serves nobody with stale keys",
         f"{LIBRARY}/_workspaces.py",
         "if bounds.revocation_limit is not None and age > bounds.revocation_limit:",
         "if False:",
@@ -72,7 +72,7 @@
         ("tests/test_usage.py", "first_decision"),
     ),
     Guard(
-        "what was decided is what is sent",
+        "the decided counts are the ones sent",
         f"{DAEMON}/duties/usage_reporter.py",
         "        if decided is not None:\n            return decided\n",
         "        if decided is not None:\n"
@@ -80,14 +80,14 @@
         (DUTY, "exactly_what_was_decided"),
     ),
     Guard(
-        "counts that may not have been written are given again",
+        "counts that may not have been written are requeued",
         f"{DAEMON}/duties/usage_counter.py",
         "self._meter.requeue(records)",
         "pass",
         (DUTY, "log_does_not_hold"),
     ),
     Guard(
-        "a holder that is not answered steps aside",
+        "a reporter without an answer gives up its duty",
         f"{DAEMON}/duties/usage_reporter.py",
         "await self._lease.step_aside()",
         "pass",
@@ -115,14 +115,14 @@
         ("tests/test_duty_lease.py", "steps_aside"),
     ),
     Guard(
-        "a jump of the clock is not believed at once",
+        "a jump of the clock is not accepted at once",
         f"{LIBRARY}/_usage.py",
         "elif now - self._other_since >= _BELIEVED_AFTER:",
         "else:",
         ("tests/test_usage.py", "taken_back"),
     ),
     Guard(
-        "an edge that stood still looks again before it ends",
+        "a paused edge checks again before it stops",
         "platform/edge.py",
         "if boot_time() > began + _LAME_DUCK and on_time and not front.in_flight:",
         "if boot_time() > began + _LAME_DUCK and not front.in_flight:",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -27,13 +27,13 @@
     docs/CALLERS.md has exactly one row per result code, with the code's description.
     """
     text = (_ROOT / "docs" / "CALLERS.md").read_text()
-    told = [line for line in text.splitlines() if re.match(r"\| \d+ \|", line)]
+    listed = [line for line in text.splitlines() if re.match(r"\| \d+ \|", line)]
     expected = [
         f"| {int(code)} | {code.name.lower()} | {code.family.value} | {status} "
         f"| {meaning} | {todo} |"
         for code, status, meaning, todo in describe()
     ]
-    assert told == expected
+    assert listed == expected
 
 
 def test_every_promise_has_its_row():
