--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -16,7 +16,7 @@
 
 GUARDS = (
     Guard(
-        "a barred request reaches no engine",
+        "a quarantined request reaches no engine",
         f"{DAEMON}/serving/engine_choice.py",
         """        if poison_status is PoisonStatus.QUARANTINED:
             return None
@@ -41,7 +41,7 @@
         (CRASHING, "item_that_ends_engines"),
     ),
     Guard(
-        "ends are told to all nodes",
+        "engine crashes are reported to all nodes",
         _WATCH,
         "            await append_until_acknowledged("
         "self._log, CONTROL_STREAM, records)\n",
@@ -49,28 +49,28 @@
         (CRASHING, "stood_still"),
     ),
     Guard(
-        "ends outlive all nodes",
+        "engine crashes are known after a restart of all nodes",
         f"{DAEMON}/cluster/leases.py",
         "        self._on_record(record)\n",
         "",
         (CRASHING, "loss_of_all_edges"),
     ),
     Guard(
-        "a node that stood still asks before it judges",
+        "a paused node refreshes known crashes before it judges",
         _WATCH,
         "        return boot_time() - self._leases.last_read_at <= _MAX_READ_AGE\n",
         "        return True\n",
         (CRASHING, "stood_still"),
     ),
     Guard(
-        "a cause was there once without another suspect",
+        "a cause has had a crash without another suspect",
         _FOLD,
         "if all(crash_counts[other] == 1 for other in crash.requests - {key})\n",
         "if crash_counts\n",
         (CRASH_FOLD, "always_together"),
     ),
     Guard(
-        "what a barred request explains speaks against nobody",
+        "an explained crash blames no other request",
         _FOLD,
         "            self._crash_counts = crash_counts\n",
         "            self._crash_counts = (\n"
@@ -86,35 +86,35 @@
         (CRASH_FOLD, "an_answer_clears"),
     ),
     Guard(
-        "what is known of ends is bounded in time",
+        "known engine crashes are bounded in time",
         _FOLD,
         "            if not over_limit and now - oldest.reported_at <= _RETENTION:\n",
         "            if not over_limit:\n",
         (CRASH_FOLD, "bounded_in_time"),
     ),
     Guard(
-        "what is known of ends is bounded in count",
+        "known engine crashes are bounded in count",
         _FOLD,
         "            over_limit = len(self._crashes) > _MAX_CRASHES\n",
         "            over_limit = False\n",
         (CRASH_FOLD, "bounded_in_count"),
     ),
     Guard(
-        "only an engine that is gone has ended",
+        "only an engine that has exited has crashed",
         _WATCH,
         "        if await self._engines.has_exited(engine):\n",
         "        if await self._engines.has_exited(engine) or True:\n",
         (CRASH_WATCH, "still_serves"),
     ),
     Guard(
-        "an engine that ran a request for long is not ended by it",
+        "a request that ran for long is not blamed for a crash",
         _WATCH,
         "if run.started_at <= ended_at <= run.started_at + _CRASH_WINDOW\n",
         "if run.started_at <= ended_at\n",
         (CRASH_WATCH, "ran_for_long"),
     ),
     Guard(
-        "what an engine has answered is not blamed for its end",
+        "an answered request is not blamed for a crash",
         _WATCH,
         """        self._engine_runs.runs.discard(self._run)
         self._watch.clear_request(self._run.key)
@@ -123,14 +123,14 @@
         (CRASH_WATCH, "answered_before_its_end"),
     ),
     Guard(
-        "a timer that fires after a standstill shows nothing",
+        "a timer that fires after a process pause clears nothing",
         _WATCH,
         "if boot_time() - run.started_at <= _CRASH_WINDOW + _TIMER_TOLERANCE:\n",
         "if run.started_at:\n",
         (CRASH_WATCH, "standstill"),
     ),
     Guard(
-        "what waits for the store is bounded",
+        "the queue of records for the store is bounded",
         _WATCH,
         "deque[_Record](maxlen=_MAX_PENDING_RECORDS)",
         "deque[_Record]()",
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -20,7 +20,7 @@
         (REQUESTS, "leaving_engine"),
     ),
     Guard(
-        "entries that lapse with the store are bridged",
+        "entries that expire in a store outage are kept",
         f"{LIBRARY}/_engine_directory.py",
         "            self._missing[engine_id] = (entry, usable_until)",
         "            pass",
@@ -41,21 +41,21 @@
         (PLACEMENT, "fastest_engine"),
     ),
     Guard(
-        "short texts leave the engines of long ones alone",
+        "short texts avoid the engines of long ones",
         f"{LIBRARY}/_item_placement.py",
         "long_key if is_long else short_key",
         "long_key",
         (PLACEMENT, "no_long_one_runs"),
     ),
     Guard(
-        "a text that has moved moves again only for more",
+        "each move of a text needs a larger gain",
         f"{LIBRARY}/_item_placement.py",
         " * 2**moves",
         "",
         (PLACEMENT, "only_for_more"),
     ),
     Guard(
-        "what an engine held is forgotten with its life",
+        "the state of an engine ends with its incarnation",
         f"{DAEMON}/cluster/view.py",
         """            if incarnation.engine_id == entry.engine_id:
                 self.engine_tables.forget(incarnation)
@@ -64,14 +64,14 @@
         (LIVES, "place_at_the_life_before or also_if_its_entry or left_out"),
     ),
     Guard(
-        "an engine's life is part of the key",
+        "an engine's start time is part of the key",
         f"{LIBRARY}/_engine_directory.py",
         "return Incarnation(self.engine_id, self.started_at)",
         "return Incarnation(self.engine_id, None)",
         (LIVES, "is_forgotten or loaded_again"),
     ),
     Guard(
-        "what is in flight at an engine ends with its life",
+        "requests in flight end with the engine's incarnation",
         f"{DAEMON}/cluster/engine_timeouts.py",
         "            timeout.reschedule(now)\n",
         "            pass\n",
@@ -85,14 +85,14 @@
         (LIVES, "another_life_is_not_credited"),
     ),
     Guard(
-        "an entry of an earlier life is passed over",
+        "an entry of an earlier incarnation is ignored",
         f"{LIBRARY}/_engine_directory.py",
         "if is_outdated and engine_id not in self._outdated_ignored:",
         "if False:",
         (LIVES, "earlier_life_is_passed_over"),
     ),
     Guard(
-        "a false start does not shut an engine out",
+        "a wrong start time does not exclude an engine",
         f"{LIBRARY}/_engine_directory.py",
         "if is_outdated and engine_id not in self._outdated_ignored:",
         "if is_outdated:",
@@ -106,7 +106,7 @@
         ("tests/adapter/test_engine_sessions.py", "one_life"),
     ),
     Guard(
-        "an entry that was overwritten is not one that lapsed",
+        "an overwritten entry is not an expired one",
         f"{DAEMON}/cluster/view.py",
         "self._drop_engine(entry.key)",
         "self._remove_engine(entry.key, entry.offset)",
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -55,28 +55,28 @@
         (PASS, "no_second_instance"),
     ),
     Guard(
-        "what was decided on long ago is not sent",
+        "a request decided too long ago is not sent",
         f"{DAEMON}/backends/timely.py",
         "        if _is_too_late():\n",
         "        if False:\n",
         (TIMELY, "long_ago"),
     ),
     Guard(
-        "a decision's age counts for what was decided only",
+        "a decision's age applies to its own request only",
         f"{DAEMON}/backends/timely.py",
         "_decided_at.reset(token)",
         "pass",
         ("tests/adapter/test_engine_report.py", "asked_later"),
     ),
     Guard(
-        "nothing is written for what was decided on long ago",
+        "no byte is written for a decision too long ago",
         f"{DAEMON}/backends/timely.py",
         "if not _is_too_late():",
         "if True:",
         (TIMELY, "before_its_first_byte"),
     ),
     Guard(
-        "a standstill is noticed when it is asked about",
+        "a process pause is detected when it is queried",
         f"{DAEMON}/process_pauses.py",
         """        self._check()
         return self._ended_at""",
@@ -91,7 +91,7 @@
         (UNREADABLE, "told_of_once"),
     ),
     Guard(
-        "nothing is taken up before the replay's end",
+        "no job is resumed before the replay's end",
         f"{DAEMON}/jobs/runner.py",
         "if not self._jobs.caught_up:",
         "if False:",
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -37,14 +37,14 @@
         (KEYS, "items_run_for"),
     ),
     Guard(
-        "a key that others may know by now is not called unknown",
+        "a key that other nodes may know is not called unknown",
         f"{LIBRARY}/_workspaces.py",
         "if age > bounds.propagation_limit:",
         "if False:",
         (KEYS, "calls_no_key_unknown"),
     ),
     Guard(
-        "with strict revocation old news serves nobody",
+        "strict revocation serves nobody with stale keys",
         f"{LIBRARY}/_workspaces.py",
         "if bounds.revocation_limit is not None and age > bounds.revocation_limit:",
         "if False:",
@@ -115,7 +115,7 @@
         ("tests/test_duty_lease.py", "steps_aside"),
     ),
     Guard(
-        "a jump of the clock is not believed at once",
+        "a jump of the clock is not accepted at once",
         f"{LIBRARY}/_usage.py",
         "elif now - self._jump_since >= _JUMP_ACCEPTED_AFTER:",
         "else:",
