--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-A soak: real edges before stand-ins of the platform, under faults drawn from a seed.
+A soak test: real edges in front of platform stand-ins, with seeded random faults.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-``python -m soak``: a line of JSON for each seed, progress beside it.
+``python -m soak``: runs seeds and prints a line of JSON for each.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from .run import SoakBrokenError, Verdict, run_seed
 
 
-#: Exit statuses: a broken promise; seeds or settings that cannot be used; a fault of
-#: the soak itself, after which its verdict says nothing.
+#: Exit statuses: a broken promise; invalid seeds or settings; an error of the soak
+#: itself, which makes its verdict invalid.
 _BROKEN, _EXIT_USAGE, _EXIT_FAULT = 1, 2, 3
 
 
@@ -56,9 +56,9 @@
 
 def parse_seeds(text: str) -> list[int]:
     """
-    Return the seeds.
+    Parse the list of seeds.
 
-    :raises UnusableSoakError: If there is none, or one is no whole number.
+    :raises UnusableSoakError: If it is empty, or a seed is not an integer.
     """
     words = text.split(",")
     if not all(word.strip().isascii() and word.strip().isdigit() for word in words):
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-The promises, checked over what was seen so far.
+Checks of the promises over the observations of a run.
 
-Each check is a pure function, so that it can run again and again while faults go on.
+Each check is a pure function, so that it can run repeatedly during the run.
 """
 
 from __future__ import annotations
@@ -12,39 +12,39 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from .keys import is_always_there, workspace_of
+from .keys import is_permanent_key, workspace_of
 from .observed import (
     NOT_RUN,
     TRAINERS,
-    Asked,
+    CallerRequest,
     EngineLine,
-    Observed,
-    Read,
-    Report,
-    Stopped,
+    JobRead,
+    Observations,
+    PlannedStop,
+    UsageReport,
     job_of,
 )
 
 
 __all__ = ["CHECKS", "EVENTS", "Check", "Finding", "judge"]
 
-#: Events of a text of the stand-in engines, a count.
+#: Events in each text of the stand-in engines.
 EVENTS = 5
-#: Times of the settings that the edges run with, in seconds.
-_CANCEL_TIME = 3.0
+#: Values of the edges' settings, in seconds.
+_CANCEL_LIMIT = 3.0
 _GRACE = 8.0
 _LEASE_TERM = 1.0
-#: Allowances of the platform's rules, in seconds: for a job that has just been accepted
-#: and a position that has just been read; for a configuration; for orders of an edge
-#: that was continued just now.
-_SETTLE = 1.0
+#: Tolerances of the platform's rules, in seconds: until an accepted job or a position
+#: that was read is visible at every edge; until a configuration change applies; for
+#: orders that an edge gives right after a process pause.
+_VISIBILITY_SLACK = 1.0
 _ROLLBACK_SLACK = 0.25
-_FREEZE_SLACK = 0.3
-#: A connection that ends this soon after a request was sent, in seconds, may have ended
-#: before the edge saw it.
+_PAUSE_SLACK = 0.3
+#: A connection that closes within this time of sending a request, in seconds, may have
+#: closed before the edge received the request.
 _LOSS_SLACK = 0.2
-#: Between the end of a process and the notice of it, in seconds.
-_NOTICE = 0.3
+#: Longest delay between the exit of a process and its detection, in seconds.
+_EXIT_DELAY = 0.3
 
 
 @dataclass(frozen=True)
@@ -52,7 +52,7 @@
     """
     A promise that was broken.
 
-    :param row: Of docs/PROMISES.md.
+    :param row: Start of the promise's row in docs/PROMISES.md.
     """
 
     check: str
@@ -65,17 +65,17 @@
     """
     A check and the row of docs/PROMISES.md that it watches.
 
-    :param find: Yields a sentence for each time that the promise was broken.
+    :param find: Yields a description of each violation.
     """
 
     name: str
     row: str
-    find: Callable[[Observed], Iterator[str]]
+    find: Callable[[Observations], Iterator[str]]
 
 
-def judge(seen: Observed) -> list[Finding]:
+def judge(seen: Observations) -> list[Finding]:
     """
-    Return everything that was broken so far.
+    Run all checks and return their findings.
     """
     return [
         Finding(check.name, check.row, detail)
@@ -84,35 +84,37 @@
     ]
 
 
-def _runs(seen: Observed) -> list[EngineLine]:
-    return [line for line in list(seen.engines) if line.what == "run"]
+def _runs(seen: Observations) -> list[EngineLine]:
+    return [line for line in list(seen.engine_lines) if line.what == "run"]
 
 
-def _whole_answers(seen: Observed) -> Iterator[str]:
-    for asked in list(seen.asked):
-        if asked.status != 200:
+def _whole_answers(seen: Observations) -> Iterator[str]:
+    for request in list(seen.requests):
+        if request.status != 200:
             continue
-        name = asked.request_id
-        if (asked.body, asked.mark) != (f"answer to {name}", f"seal-{name}"):
-            yield f"{name} at {asked.edge} got {asked.body!r}, mark {asked.mark!r}"
+        name = request.request_id
+        if (request.body, request.mark) != (f"answer to {name}", f"seal-{name}"):
+            yield (
+                f"{name} at {request.edge} got {request.body!r}, mark {request.mark!r}"
+            )
 
 
-def _runs_once(seen: Observed) -> Iterator[str]:
+def _runs_once(seen: Observations) -> Iterator[str]:
     booked = [run.id for run in _runs(seen) if run.target.startswith("/book/")]
     for name, runs in Counter(booked).items():
         if runs > 1:
             yield f"{name} ran {runs} times"
 
 
-def _never_runs(seen: Observed) -> Iterator[str]:
+def _never_runs(seen: Observations) -> Iterator[str]:
     refused = {
-        asked.request_id: asked.status
-        for asked in list(seen.asked)
-        if asked.status in NOT_RUN
+        request.request_id: request.status
+        for request in list(seen.requests)
+        if request.status in NOT_RUN
     }
     jobs = {
         submitted.job: submitted.statuses
-        for submitted in list(seen.submitted)
+        for submitted in list(seen.submissions)
         if NOT_RUN.issuperset(submitted.statuses)
     }
     told = refused | jobs
@@ -121,17 +123,17 @@
             yield f"{run.id} ran at {run.engine}, answered {told[job_of(run.id)]}"
 
 
-def _accepted_stays(seen: Observed) -> Iterator[str]:
-    accepted = {s.job: s.at for s in list(seen.submitted) if s.accepted}
-    for read in list(seen.read):
+def _accepted_stays(seen: Observations) -> Iterator[str]:
+    accepted = {s.job: s.at for s in list(seen.submissions) if s.accepted}
+    for read in list(seen.reads):
         began = accepted.get(read.job, float("inf"))
-        if read.status in (404, 410) and read.began > began + _SETTLE:
+        if read.status in (404, 410) and read.began > began + _VISIBILITY_SLACK:
             yield f"{read.job}: {read.status} at {read.edge}"
-    yield from list(seen.never)
+    yield from list(seen.unrecovered)
 
 
-def _positions(seen: Observed) -> Iterator[str]:
-    items = {s.job: s.items for s in list(seen.submitted)}
+def _positions(seen: Observations) -> Iterator[str]:
+    items = {s.job: s.items for s in list(seen.submissions)}
     listed: dict[tuple[str, int], dict] = {}
     places: dict[tuple[str, str], int] = {}
     for read in _answered(seen):
@@ -148,22 +150,24 @@
                 yield f"{read.job}: lists {result['id']}"
 
 
-def _positions_stay(seen: Observed) -> Iterator[str]:
+def _positions_stay(seen: Observations) -> Iterator[str]:
     known: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for read in _answered(seen):
         if read.results:
             known[read.job].append((read.at, read.since + len(read.results)))
     for read in _answered(seen):
-        settled = [n for at, n in known[read.job] if at < read.began - _SETTLE]
+        settled = [
+            n for at, n in known[read.job] if at < read.began - _VISIBILITY_SLACK
+        ]
         if not read.results and read.since < max(settled, default=0):
             yield f"{read.job}: nothing from {read.since} on at {read.edge}"
 
 
-def _answered(seen: Observed) -> list[Read]:
-    return [read for read in list(seen.read) if read.status == 200]
+def _answered(seen: Observations) -> list[JobRead]:
+    return [read for read in list(seen.reads) if read.status == 200]
 
 
-def _listed(seen: Observed) -> dict[tuple[str, str], dict]:
+def _listed(seen: Observations) -> dict[tuple[str, str], dict]:
     return {
         (read.job, result["id"]): result
         for read in _answered(seen)
@@ -171,7 +175,7 @@
     }
 
 
-def _texts(seen: Observed) -> Iterator[str]:
+def _texts(seen: Observations) -> Iterator[str]:
     ended = {end.job: end.began for end in list(seen.ended)}
     for (job, item), result in _listed(seen).items():
         whole = "\n".join(f"{item}-{number}" for number in range(1, EVENTS + 1))
@@ -182,10 +186,10 @@
             yield f"{item}: the text is {result['message']!r}"
 
 
-def _versions(seen: Observed) -> Iterator[str]:
-    oldest = {s.job: s.min_version for s in list(seen.submitted)}
+def _versions(seen: Observations) -> Iterator[str]:
+    oldest = {s.job: s.min_version for s in list(seen.submissions)}
     made: dict[str, dict[int, set[int]]] = defaultdict(lambda: defaultdict(set))
-    for line in list(seen.engines):
+    for line in list(seen.engine_lines):
         if line.what == "event":
             made[line.id][line.number].add(line.version)
     for (job, item), result in _listed(seen).items():
@@ -200,9 +204,9 @@
             yield f"{item}: versions {sorted(told)}, made were {dict(made[item])}"
 
 
-def _scores(seen: Observed) -> Iterator[str]:
+def _scores(seen: Observations) -> Iterator[str]:
     whole_at: dict[str, float] = {}
-    for line in list(seen.engines):
+    for line in list(seen.engine_lines):
         if line.what == "event" and line.number == EVENTS:
             whole_at.setdefault(line.id, line.at)
     for (_, item), result in _listed(seen).items():
@@ -215,93 +219,98 @@
             yield f"{run.id} came before the text's last event was made"
 
 
-def _nothing_after_the_end(seen: Observed) -> Iterator[str]:
+def _nothing_after_the_end(seen: Observations) -> Iterator[str]:
     ended = {end.job: end.at for end in list(seen.ended)}
     for run in _runs(seen):
         late = run.at - ended.get(job_of(run.id), float("inf"))
-        if late > _CANCEL_TIME:
+        if late > _CANCEL_LIMIT:
             yield f"{run.id} reached {run.engine} {late:.2f} s after its job's end"
 
 
-def _fences(seen: Observed) -> Iterator[str]:
+def _fences(seen: Observations) -> Iterator[str]:
     highest: dict[tuple[str, int], int] = {}
     holders: dict[int, str] = {}
     successors: list[EngineLine] = []
-    orders = [line for line in list(seen.engines) if line.what == "order"]
+    orders = [line for line in list(seen.engine_lines) if line.what == "order"]
     for order in sorted(orders, key=lambda line: line.at):
-        life = (order.engine, order.born)
+        process = (order.engine, order.born)
         first = holders.setdefault(order.fence, order.holder)
         if first != order.holder:
             yield f"fence {order.fence} is that of {first} and of {order.holder}"
-        if order.fence < highest.get(life, -1) and not _just_thawed(seen, order):
-            seen_before = f"{order.engine} had seen {highest[life]}"
+        if order.fence < highest.get(process, -1) and not _just_resumed(seen, order):
+            seen_before = f"{order.engine} had seen {highest[process]}"
             yield f"fence {order.fence} of {order.holder}, {seen_before}"
         over = [
             later
             for later in successors
             if later.fence > order.fence and later.at < order.at - _LEASE_TERM
         ]
-        if over and not _just_thawed(seen, order):
+        if over and not _just_resumed(seen, order):
             yield f"{order.holder} orders long after {over[0].holder} has begun to"
         successors.append(order)
-        highest[life] = max(highest.get(life, -1), order.fence)
+        highest[process] = max(highest.get(process, -1), order.fence)
 
 
-def _just_thawed(seen: Observed, order: EngineLine) -> bool:
+def _just_resumed(seen: Observations, order: EngineLine) -> bool:
     return any(
-        edge == order.holder and at <= order.at <= at + _FREEZE_SLACK
-        for edge, at in list(seen.thaws)
+        edge == order.holder and at <= order.at <= at + _PAUSE_SLACK
+        for edge, at in list(seen.resumes)
     )
 
 
-def _planned_stops(seen: Observed) -> Iterator[str]:
-    for stop in list(seen.stopped):
-        if stop.status != 0 or stop.took > _GRACE + _NOTICE:
-            yield f"{stop.edge}: status {stop.status} after {stop.took:.1f} s"
+def _planned_stops(seen: Observations) -> Iterator[str]:
+    for stop in list(seen.stops):
+        if stop.status != 0 or stop.elapsed > _GRACE + _EXIT_DELAY:
+            yield f"{stop.edge}: status {stop.status} after {stop.elapsed:.1f} s"
 
 
-def _stops_cut_nothing(seen: Observed) -> Iterator[str]:
+def _stops_cut_nothing(seen: Observations) -> Iterator[str]:
     begun = {run.id for run in _runs(seen)}
-    cut = [asked for asked in list(seen.asked) if not asked.status]
-    for stop in list(seen.stopped):
-        # What came shortly before the end of a slow planned stop may be given up.
-        if stop.frozen or stop.took > _GRACE * 5 / 6:
+    cut = [request for request in list(seen.requests) if not request.status]
+    for stop in list(seen.stops):
+        # A slow planned stop may drop requests that arrived shortly before its end.
+        if stop.paused or stop.elapsed > _GRACE * 5 / 6:
             continue
-        for asked in cut:
-            mine = (asked.edge, asked.life) == (stop.edge, stop.life)
-            taken = asked.request_id in begun or asked.at > asked.began + _LOSS_SLACK
-            if mine and taken and asked.at > stop.at - stop.took:
-                yield _cut(asked, stop, asked.request_id in begun)
-
-
-def _cut(asked: Asked, stop: Stopped, begun: bool) -> str:
+        for request in cut:
+            same_process = (request.edge, request.start_number) == (
+                stop.edge,
+                stop.start_number,
+            )
+            received = (
+                request.request_id in begun or request.at > request.began + _LOSS_SLACK
+            )
+            if same_process and received and request.at > stop.at - stop.elapsed:
+                yield _describe_cut(request, stop, request.request_id in begun)
+
+
+def _describe_cut(request: CallerRequest, stop: PlannedStop, begun: bool) -> str:
     """
-    Say which request got no answer, and when it was there, by the end of the stop.
+    Describe a request without an answer, with its times relative to the stop's end.
     """
-    sent, gone = asked.began - stop.at, asked.at - stop.at
+    sent, gone = request.began - stop.at, request.at - stop.at
     return (
-        f"{asked.request_id} got no answer from {asked.edge}: sent {sent:.3f} s and"
-        f" gone {gone:.3f} s from the end of a stop of {stop.took:.3f} s,"
+        f"{request.request_id} got no answer from {request.edge}: sent {sent:.3f} s and"
+        f" gone {gone:.3f} s from the end of a stop of {stop.elapsed:.3f} s,"
         f" {'begun' if begun else 'not begun'}"
     )
 
 
-def _configuration(seen: Observed) -> Iterator[str]:
+def _configuration(seen: Observations) -> Iterator[str]:
     served: dict[tuple[str, int, str], float] = {}
-    routes = [a for a in list(seen.asked) if a.target.startswith("/r")]
-    for asked in sorted(routes, key=lambda one: one.at):
-        key = (asked.edge, asked.life, asked.target)
-        if asked.status == 200:
-            served.setdefault(key, asked.at)
-        if asked.status == 404 and asked.began > served.get(key, float("inf")) + (
+    routes = [a for a in list(seen.requests) if a.target.startswith("/r")]
+    for request in sorted(routes, key=lambda one: one.at):
+        key = (request.edge, request.start_number, request.target)
+        if request.status == 200:
+            served.setdefault(key, request.at)
+        if request.status == 404 and request.began > served.get(key, float("inf")) + (
             _ROLLBACK_SLACK
         ):
-            yield f"{asked.target} was served at {asked.edge}, and then 404"
+            yield f"{request.target} was served at {request.edge}, and then 404"
 
 
-def _workspaces(seen: Observed) -> Iterator[str]:
-    expected = {a.request_id: workspace_of(a.key) for a in list(seen.asked)}
-    jobs = {submitted.job for submitted in list(seen.submitted)}
+def _workspaces(seen: Observations) -> Iterator[str]:
+    expected = {a.request_id: workspace_of(a.key) for a in list(seen.requests)}
+    jobs = {submitted.job for submitted in list(seen.submissions)}
     for run in _runs(seen):
         if run.key is not None:
             yield f"{run.id} at {run.engine} showed the key {run.key!r}"
@@ -313,26 +322,26 @@
             yield f"{run.id} ran at {run.engine} for {run.tenant!r}, not {owner!r}"
 
 
-def _keys(seen: Observed) -> Iterator[str]:
+def _keys(seen: Observations) -> Iterator[str]:
     served: set[tuple[str, int, str]] = set()
     gone: dict[tuple[str, int, str], float] = {}
-    for asked in sorted(list(seen.asked), key=lambda one: one.at):
-        place = (asked.edge, asked.life, asked.key)
-        told = f"{asked.request_id}, {asked.key!r} at {asked.edge}"
-        if asked.status == 401 and is_always_there(asked.key):
+    for request in sorted(list(seen.requests), key=lambda one: one.at):
+        place = (request.edge, request.start_number, request.key)
+        told = f"{request.request_id}, {request.key!r} at {request.edge}"
+        if request.status == 401 and is_permanent_key(request.key):
             yield f"{told}: 401, and the key is always there"
-        if asked.status == 200 and not workspace_of(asked.key):
+        if request.status == 200 and not workspace_of(request.key):
             yield f"{told}: served, and the key never was there"
-        if asked.status == 401 and place in served:
-            gone.setdefault(place, asked.at)
-        if asked.status == 200:
+        if request.status == 401 and place in served:
+            gone.setdefault(place, request.at)
+        if request.status == 200:
             served.add(place)
-            if asked.began > gone.get(place, float("inf")) + _ROLLBACK_SLACK:
+            if request.began > gone.get(place, float("inf")) + _ROLLBACK_SLACK:
                 yield f"{told}: served, and the key had been taken away there"
 
 
-def _usage(seen: Observed) -> Iterator[str]:
-    counts: dict[int, Report] = {}
+def _usage(seen: Observations) -> Iterator[str]:
+    counts: dict[int, UsageReport] = {}
     holders: dict[int, str] = {}
     for report in list(seen.reports):
         first = counts.setdefault(report.window, report)
--- a/tests/soak/keys.py
+++ b/tests/soak/keys.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The workspaces of a run and their keys, which come and go with each configuration.
+The workspaces of a run and their keys, which are rotated with each configuration.
 """
 
 from __future__ import annotations
@@ -9,23 +9,23 @@
 import random
 
 
-__all__ = ["TENANTS", "draw_key", "is_always_there", "tenants_of", "workspace_of"]
+__all__ = ["TENANTS", "draw_key", "is_permanent_key", "tenants_of", "workspace_of"]
 
 #: Names of the workspaces.
 TENANTS = ("red", "blue")
-#: Versions for which a key stays, a count.
-_STAYS = 3
-#: Of the requests with a key that no configuration ever held.
-_FOREIGN_SHARE = 0.03
-_FOREIGN = "nobody-0"
+#: Configuration versions for which a rotated key is valid.
+_KEY_VERSIONS = 3
+#: Share of requests with a key that no configuration contains.
+_UNKNOWN_KEY_SHARE = 0.03
+_UNKNOWN_KEY = "nobody-0"
 
 
 def tenants_of(version: int) -> list[dict]:
     """
-    Return the workspaces of a configuration: each has a key that stays, and the newest
-    of those that come with each version.
+    Return the workspaces of a configuration, each with a permanent key and the newest
+    rotated keys.
     """
-    newest = range(max(1, version - _STAYS + 1), version + 1)
+    newest = range(max(1, version - _KEY_VERSIONS + 1), version + 1)
     return [
         {"name": name, "api_keys": [f"{name}-0", *(f"{name}-{n}" for n in newest)]}
         for name in TENANTS
@@ -34,24 +34,24 @@
 
 def draw_key(draw: random.Random, version: int) -> str:
     """
-    Return a key for a request: mostly one that stays, else one of a version.
+    Return a key for a request: mostly a permanent one, else a rotated or unknown one.
     """
-    if draw.random() < _FOREIGN_SHARE:
-        return _FOREIGN
+    if draw.random() < _UNKNOWN_KEY_SHARE:
+        return _UNKNOWN_KEY
     number = draw.choice((0, 0, 0, draw.randint(1, max(1, version))))
     return f"{draw.choice(TENANTS)}-{number}"
 
 
 def workspace_of(key: str) -> str:
     """
-    Return whose a key is, or was; empty if it never was anybody's.
+    Return the workspace that owns or owned a key; empty for an unknown key.
     """
     name = key.partition("-")[0]
     return name if name in TENANTS else ""
 
 
-def is_always_there(key: str) -> bool:
+def is_permanent_key(key: str) -> bool:
     """
-    Return whether every configuration holds a key.
+    Return whether every configuration contains a key.
     """
     return bool(workspace_of(key)) and key.endswith("-0")
--- a/tests/soak/load.py
+++ b/tests/soak/load.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Callers and trainers that go on while edges come and go.
+Load of callers and trainers that continues while edges stop and start.
 """
 
 from __future__ import annotations
@@ -19,38 +19,49 @@
 from platform_documents import HOST, MODEL, make_job
 
 from .keys import draw_key
-from .observed import TRAINERS, Asked, Ended, Observed, Read, Submitted
+from .observed import (
+    TRAINERS,
+    CallerRequest,
+    JobEnd,
+    JobRead,
+    JobSubmission,
+    Observations,
+)
 from .plan import EDGES
 
 
 __all__ = ["Load", "ask_once"]
 
-#: Longer than a route's time limit of 2 s, in seconds.
-_PATIENCE = 2.6
-#: How long a trainer waits for the results of a job, in seconds, at least and at most.
+#: Callers' timeout, in seconds; longer than a route's time limit of 2 s.
+_CALLER_TIMEOUT = 2.6
+#: Shortest and longest time that a trainer waits for a job's results, in seconds.
 _SHORTEST_WAIT, _LONGEST_WAIT = 0.8, 5.0
-#: Times that a job is submitted, a count.
-_SUBMITS = 4
+#: Attempts to submit a job.
+_SUBMIT_ATTEMPTS = 4
 _ITEMS = 6
-#: Of the trainers, all of one workspace.
+#: Key of all trainers, which share a workspace.
 _TRAINERS_KEY = f"{TRAINERS}-0"
 
 
 @dataclass
 class Load:
     """
-    What callers and trainers share.
+    State that callers and trainers share.
 
-    :ivar lives: Starts of each edge, a count.
-    :ivar version: The newest named version of the weights.
-    :ivar routes: The newest configuration's version; ``/r1/`` up to it are routes.
-    :ivar open_jobs: Accepted and not ended yet, with their items.
-    :ivar closing: Set when trainers submit no more jobs; callers go on until ``over``.
+    :ivar start_counts: Number of starts of each edge.
+    :ivar version: The newest announced version of the weights.
+    :ivar routes: The newest configuration's version N; its routes are ``/r1/`` to
+        ``/rN/``.
+    :ivar open_jobs: Number of items of each job that is accepted and not ended.
+    :ivar closing: Set when trainers must submit no more jobs; callers continue until
+        ``over`` is set.
     """
 
     bed: PlatformBed
-    seen: Observed
-    lives: dict[str, int] = field(default_factory=lambda: dict.fromkeys(EDGES, 1))
+    seen: Observations
+    start_counts: dict[str, int] = field(
+        default_factory=lambda: dict.fromkeys(EDGES, 1)
+    )
     version: int = 1
     routes: int = 1
     open_jobs: dict[str, int] = field(default_factory=dict)
@@ -59,7 +70,7 @@
 
     def call(self, name: str, draw: random.Random) -> None:
         """
-        Send requests over connections that are kept until the edge is gone.
+        Send requests over persistent connections until the load is over.
         """
         connection, edge = None, ""
         for number in range(100_000):
@@ -72,15 +83,15 @@
                 ("/look/x", "/book/x", f"/r{draw.randint(1, self.routes)}/")
             )
             key = draw_key(draw, self.routes)
-            asked = self._send(connection, edge, f"{name}-{number}", target, key)
-            self.seen.asked.append(asked)
-            if not asked.status:
+            record = self._send(connection, edge, f"{name}-{number}", target, key)
+            self.seen.requests.append(record)
+            if not record.status:
                 connection.close()
                 connection = None
 
     def _connect(self, edge: str) -> http.client.HTTPConnection:
         port = self.bed.front_ports[edge]
-        return http.client.HTTPConnection("127.0.0.1", port, timeout=_PATIENCE)
+        return http.client.HTTPConnection("127.0.0.1", port, timeout=_CALLER_TIMEOUT)
 
     def _send(
         self,
@@ -89,8 +100,8 @@
         name: str,
         target: str,
         key: str,
-    ) -> Asked:
-        life, began = self.lives[edge], time.monotonic()
+    ) -> CallerRequest:
+        start_number, began = self.start_counts[edge], time.monotonic()
         headers = {
             "Host": HOST,
             "Saddledoor-Attempt-Id": name,
@@ -103,15 +114,20 @@
             body = response.read().decode("latin-1")
         except (OSError, http.client.HTTPException):
             now = time.monotonic()
-            return Asked(name, target, edge, life, began, now, 0, key=key)
+            return CallerRequest(
+                name, target, edge, start_number, began, now, 0, key=key
+            )
         mark = response.headers.get("Saddledoor-Server-Seal", "")
         now, status = time.monotonic(), response.status
-        # An answer that a process gave shortly before its end counts as that one's.
-        return Asked(name, target, edge, life, began, now, status, mark, body, key)
+        # `start_number` is that of the process that received the request, even if the
+        # edge has restarted since.
+        return CallerRequest(
+            name, target, edge, start_number, began, now, status, mark, body, key
+        )
 
     def train(self, name: str, draw: random.Random) -> None:
         """
-        Submit jobs, read them at any edge, and end them; some are left open.
+        Submit jobs, read them at random edges, and end most of them.
         """
         for number in range(100_000):
             if self.closing.is_set():
@@ -120,7 +136,7 @@
             if not self._submit(job, draw):
                 self.over.wait(0.2)
                 continue
-            self._follow(job, draw)
+            self._read_results(job, draw)
             if draw.random() < 0.8:
                 self.end(job, draw)
             for earlier in range(max(0, number - 3), number):
@@ -130,18 +146,20 @@
         oldest = max(1, self.version - 1)
         body = json.dumps(_job(job, oldest)).encode()
         statuses = []
-        while len(statuses) < _SUBMITS and 202 not in statuses:
+        while len(statuses) < _SUBMIT_ATTEMPTS and 202 not in statuses:
             edge = draw.choice(EDGES)
             status, _ = self._job_call("POST", "/train/x", edge, job, body)
             statuses.append(status)
             time.sleep(0.1)
-        submitted = Submitted(job, _ITEMS, oldest, tuple(statuses), time.monotonic())
+        submitted = JobSubmission(
+            job, _ITEMS, oldest, tuple(statuses), time.monotonic()
+        )
         if submitted.accepted:
             self.open_jobs[job] = _ITEMS
-        self.seen.submitted.append(submitted)
+        self.seen.submissions.append(submitted)
         return submitted.accepted
 
-    def _follow(self, job: str, draw: random.Random) -> None:
+    def _read_results(self, job: str, draw: random.Random) -> None:
         until = time.monotonic() + draw.uniform(_SHORTEST_WAIT, _LONGEST_WAIT)
         have = 0
         while time.monotonic() < until and have < _ITEMS:
@@ -149,9 +167,13 @@
             have = max(have, read.since + len(read.results))
             time.sleep(0.1)
 
-    def read(self, job: str, since: int, draw: random.Random, edge: str = "") -> Read:
+    def read(
+        self, job: str, since: int, draw: random.Random, edge: str = ""
+    ) -> JobRead:
         """
-        Read a job at an edge, which is drawn unless it is named.
+        Read a job at an edge.
+
+        :param edge: The edge; empty for a random one.
         """
         edge = edge or draw.choice(EDGES)
         began = time.monotonic()
@@ -159,24 +181,24 @@
         status, body = self._job_call("GET", target, edge)
         now = time.monotonic()
         if status != 200:
-            read = Read(job, edge, began, now, status)
+            read = JobRead(job, edge, began, now, status)
         else:
             table = json.loads(body)
             results = tuple(table["results"])
-            read = Read(job, edge, began, now, 200, since, table["total"], results)
-        self.seen.read.append(read)
+            read = JobRead(job, edge, began, now, 200, since, table["total"], results)
+        self.seen.reads.append(read)
         return read
 
     def end(self, job: str, draw: random.Random) -> None:
         """
-        End a job, at edges drawn anew until one acknowledges it.
+        End a job, trying random edges until one acknowledges it.
         """
         self.open_jobs.pop(job, None)
         began = time.monotonic()
         while not self.over.is_set():
             status, _ = self._job_call("DELETE", f"/v1/lots/{job}", draw.choice(EDGES))
             if status == 200:
-                self.seen.ended.append(Ended(job, began, time.monotonic()))
+                self.seen.ended.append(JobEnd(job, began, time.monotonic()))
                 return
             time.sleep(0.1)
 
@@ -188,7 +210,7 @@
 
     def start(self, seed: int, callers: int, trainers: int) -> list[threading.Thread]:
         """
-        Start all; they end once ``over`` is set.
+        Start one thread for each caller and trainer; they end once ``over`` is set.
         """
         works: list[tuple[Callable, str]] = [
             *((self.call, f"q{index}") for index in range(callers)),
@@ -213,7 +235,7 @@
     headers: dict[str, str] | None = None,
 ) -> tuple[int, bytes]:
     """
-    Send one request and close; the status is 0 without a whole answer.
+    Send one request and close the connection; the status is 0 without a whole answer.
     """
     fields = {"Host": HOST, **(headers or {})}
     with contextlib.closing(connection):
@@ -227,7 +249,7 @@
 
 def _job(job: str, oldest: int) -> dict:
     """
-    Return a job whose items and scoring calls have names of their own.
+    Return a job whose items and scoring calls have unique names.
     """
     table = make_job(_ITEMS, min_version=oldest, model=MODEL)
     for index, item in enumerate(table["requests"]):
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-Runs the soak over broken builds: ``python -m soak.mutants [SEEDS]``.
+Runs the soak on broken builds: ``python -m soak.mutants [SEEDS]``.
 
-Each has to be caught within five seeds, or the checks watch nothing.
+The checks must find each fault within five seeds.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     """
     A broken build.
 
-    :param changes: Path, text before and text after of each.
+    :param changes: Path, original text and replacement of each change.
     """
 
     name: str
@@ -100,9 +100,9 @@
 
 def main(seeds: str = _SEEDS, word: str = "") -> int:
     """
-    Print a row for each mutant and seed.
+    Run the mutants and print a row for each mutant and seed.
 
-    :param word: Only mutants whose name holds it.
+    :param word: Selects the mutants whose name contains it.
 
     :returns: 0 if every mutant was caught.
     """
--- a/tests/soak/observed.py
+++ b/tests/soak/observed.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What callers, trainers, engines and the operator saw of a run; times are monotonic.
+Observations of callers, trainers, engines and the operator; times are monotonic.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 __all__ = [
     "NOT_RUN",
     "TRAINERS",
-    "Asked",
-    "Configured",
-    "Ended",
+    "CallerRequest",
+    "ConfigChange",
     "EngineLine",
-    "Observed",
-    "Read",
-    "Report",
-    "Stopped",
-    "Submitted",
+    "JobEnd",
+    "JobRead",
+    "JobSubmission",
+    "Observations",
+    "PlannedStop",
+    "UsageReport",
     "job_of",
 ]
 
-#: Statuses that promise that the request has not run and never will.
+#: Statuses that promise that the request did not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
 #: The workspace of all trainers.
 TRAINERS = "red"
 
 
 @dataclass(frozen=True)
-class Asked:
+class CallerRequest:
     """
     A caller's request.
 
-    :param life: Which process of the edge it was sent to, a count of starts.
-    :param status: 0 if there was no whole answer.
+    :param start_number: Start number of the edge's process that received it.
+    :param status: 0 without a whole answer.
     """
 
     request_id: str
     target: str
     edge: str
-    life: int
+    start_number: int
     began: float
     at: float
     status: int
@@ -52,9 +52,9 @@
 
 
 @dataclass(frozen=True)
-class Submitted:
+class JobSubmission:
     """
-    All attempts to submit one job; it has an answer of 202 if ``accepted``.
+    All attempts to submit one job; ``accepted`` if one was answered with 202.
     """
 
     job: str
@@ -69,9 +69,9 @@
 
 
 @dataclass(frozen=True)
-class Read:
+class JobRead:
     """
-    A reading of a job from position ``since`` on, asked for at ``began``.
+    A read of a job from position ``since`` on, requested at ``began``.
     """
 
     job: str
@@ -85,9 +85,9 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class JobEnd:
     """
-    The end of a job, asked for at ``began`` and acknowledged at ``at``.
+    The end of a job, requested at ``began`` and acknowledged at ``at``.
     """
 
     job: str
@@ -96,25 +96,25 @@
 
 
 @dataclass(frozen=True)
-class Stopped:
+class PlannedStop:
     """
     A planned stop.
 
-    :param status: Of the process; None if it did not end.
-    :param took: From the signal to its end, in seconds.
-    :param frozen: The signal came while it was frozen.
+    :param status: Exit status of the process; None if it did not exit in time.
+    :param elapsed: Time from the signal to the exit, in seconds.
+    :param paused: Whether the signal was sent while the process was paused.
     """
 
     edge: str
-    life: int
+    start_number: int
     at: float
     status: int | None
-    took: float
-    frozen: bool = False
+    elapsed: float
+    paused: bool = False
 
 
 @dataclass(frozen=True)
-class Configured:
+class ConfigChange:
     version: int
     at: float
 
@@ -122,9 +122,9 @@
 @dataclass(frozen=True)
 class EngineLine:
     """
-    What an engine wrote down: a run, an event of a text or an order.
+    A line of an engine's journal: a run, an event of a text or an order.
 
-    :param born: Tells the lives of an engine apart.
+    :param born: Identifies the engine's process among its restarts.
     """
 
     what: str
@@ -143,11 +143,11 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class UsageReport:
     """
-    A call that reported usage, as the platform got it.
+    A usage report that the platform received.
 
-    :param at: Time of day, in seconds.
+    :param at: Wall-clock time, in seconds.
     """
 
     window: int
@@ -158,28 +158,28 @@
 
 
 @dataclass
-class Observed:
+class Observations:
     """
-    Everything so far; each list is only appended to, so that threads may share it.
+    All observations of a run; lists are append-only, so that threads may share them.
 
-    :ivar thaws: When each edge was continued after SIGSTOP.
-    :ivar never: What did not come back after the last fault, in words.
+    :ivar resumes: Edges that were resumed after SIGSTOP, with the times.
+    :ivar unrecovered: Descriptions of what failed to recover.
     """
 
-    asked: list[Asked] = field(default_factory=list)
-    submitted: list[Submitted] = field(default_factory=list)
-    read: list[Read] = field(default_factory=list)
-    ended: list[Ended] = field(default_factory=list)
-    stopped: list[Stopped] = field(default_factory=list)
-    configured: list[Configured] = field(default_factory=list)
-    thaws: list[tuple[str, float]] = field(default_factory=list)
-    engines: list[EngineLine] = field(default_factory=list)
-    reports: list[Report] = field(default_factory=list)
-    never: list[str] = field(default_factory=list)
+    requests: list[CallerRequest] = field(default_factory=list)
+    submissions: list[JobSubmission] = field(default_factory=list)
+    reads: list[JobRead] = field(default_factory=list)
+    ended: list[JobEnd] = field(default_factory=list)
+    stops: list[PlannedStop] = field(default_factory=list)
+    configurations: list[ConfigChange] = field(default_factory=list)
+    resumes: list[tuple[str, float]] = field(default_factory=list)
+    engine_lines: list[EngineLine] = field(default_factory=list)
+    reports: list[UsageReport] = field(default_factory=list)
+    unrecovered: list[str] = field(default_factory=list)
 
 
 def job_of(request_id: str) -> str:
     """
-    Return the job of an item or of a scoring call; its own id for other requests.
+    Return the job of an item or of a scoring call; other ids are returned unchanged.
     """
     return request_id.partition(".")[0]
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -27,23 +27,23 @@
     "UnusableSoakError",
 ]
 
-#: The processes: with the store eight, and the soak itself.
+#: Names of the processes under test.
 EDGES = ("edge-0", "edge-1", "edge-2")
 POOL = ("engine-0", "engine-1")
 DESKS = ("desk-0", "desk-1")
 STORE = "store"
 OPERATOR = "operator"
-#: Whichever edge gave the last order to an engine.
+#: The edge that gave the last order to an engine.
 HOLDER = "holder"
-#: Time that faults are injected for, in seconds, by default and at most.
-_SECONDS, _MOST_SECONDS = 14.0, 120.0
-#: Time without faults at the start, in seconds, so that each run has served before.
-_QUIET = 0.5
+#: Default and longest duration of fault injection, in seconds.
+_DEFAULT_SECONDS, _MAX_SECONDS = 14.0, 120.0
+#: Time without faults at the start, in seconds, so that requests are served first.
+_FAULT_FREE_START = 0.5
 
 
 class Kind(StrEnum):
     """
-    What goes wrong, or is changed.
+    Kinds of faults and of planned changes.
     """
 
     FREEZE = "freeze"
@@ -72,7 +72,7 @@
     NAME_VERSION = "name_version"
 
 
-#: What may happen to each kind of process.
+#: Kinds of faults by kind of process; repeated ones are drawn more often.
 _EDGE_KINDS = (
     *(Kind.FREEZE,) * 3,
     *(Kind.KILL, Kind.STOP) * 2,
@@ -95,8 +95,8 @@
 _OPERATOR_KINDS = (Kind.CONFIGURE, *(Kind.NAME_VERSION,) * 2)
 
 
-#: What may happen in a run of planned stops: edges that stood still for so short that
-#: their callers can still wait for a whole answer, and services that fail in turn.
+#: Kinds of faults in a run of planned stops: edges with process pauses shorter than
+#: their callers' timeout, and services that fail in turn.
 _STOPS_EDGE_KINDS = (*(Kind.THAW_STOP,) * 3, Kind.STOP_TWICE)
 _STOPS_DESK_KINDS = (Kind.WRONG_ID, Kind.UNSIGNED, Kind.REFUSE, Kind.SLOW)
 _STOPS_LONGEST = 0.5
@@ -104,7 +104,7 @@
 
 class Series(StrEnum):
     """
-    Which faults a run has.
+    Selections of the faults of a run.
     """
 
     ALL = "all"
@@ -113,34 +113,34 @@
 
 class UnusableSoakError(ValueError):
     """
-    A seed or a setting cannot be used; the message names the field.
+    A seed or a setting is invalid; the message names the field.
     """
 
 
 @dataclass(frozen=True)
 class SoakSettings:
     """
-    What a run may be told.
+    Settings of a run.
 
-    :param seconds: How long faults are injected.
+    :param seconds: Duration of fault injection.
     """
 
-    seconds: float = _SECONDS
+    seconds: float = _DEFAULT_SECONDS
     series: Series = Series.ALL
 
     @classmethod
     def from_text(cls, seconds: str, series: str = Series.ALL) -> SoakSettings:
         """
-        Check the settings.
+        Parse and validate the settings.
 
-        :raises UnusableSoakError: If one cannot be used.
+        :raises UnusableSoakError: If one is invalid.
         """
         try:
             number = float(seconds)
         except ValueError:
             number = 0.0
-        if not 1.0 <= number <= _MOST_SECONDS:
-            wanted = f"a number from 1 to {_MOST_SECONDS:g} is needed"
+        if not 1.0 <= number <= _MAX_SECONDS:
+            wanted = f"a number from 1 to {_MAX_SECONDS:g} is needed"
             raise UnusableSoakError(f"seconds: {wanted}, not {seconds!r}")
         if series not in list(Series):
             wanted = " or ".join(Series)
@@ -153,20 +153,20 @@
     """
     One fault.
 
-    :param at: Its start, in seconds after that of the run.
-    :param lasts: In seconds; of a process that ends, until it is started again.
+    :param at: Start of the fault, in seconds after the start of the run.
+    :param duration: Duration, in seconds; it sets the downtime of a stopped process.
     """
 
     at: float
     target: str
     kind: Kind
-    lasts: float
+    duration: float
 
 
 @dataclass(frozen=True)
 class SoakPlan:
     """
-    One series of faults for each process; the series overlap.
+    A series of faults for each process; series of different processes overlap.
     """
 
     seed: int
@@ -179,36 +179,38 @@
         """
         draw = random.Random(seed)
         if settings.series is Series.STOPS:
-            return cls(seed, _stops(draw, settings))
+            return cls(seed, _draw_stops(draw, settings))
         series = [
-            *(_series(draw, name, _EDGE_KINDS, 2.5, settings) for name in EDGES),
-            *(_series(draw, name, _POOL_KINDS, 2.0, settings) for name in POOL),
-            *(_series(draw, name, _DESK_KINDS, 2.0, settings) for name in DESKS),
-            _series(draw, STORE, _STORE_KINDS, 2.5, settings),
-            _series(draw, OPERATOR, _OPERATOR_KINDS, 0.6, settings),
-            _series(draw, HOLDER, (Kind.FREEZE_HOLDER,), 2.5, settings),
+            *(_draw_series(draw, name, _EDGE_KINDS, 2.5, settings) for name in EDGES),
+            *(_draw_series(draw, name, _POOL_KINDS, 2.0, settings) for name in POOL),
+            *(_draw_series(draw, name, _DESK_KINDS, 2.0, settings) for name in DESKS),
+            _draw_series(draw, STORE, _STORE_KINDS, 2.5, settings),
+            _draw_series(draw, OPERATOR, _OPERATOR_KINDS, 0.6, settings),
+            _draw_series(draw, HOLDER, (Kind.FREEZE_HOLDER,), 2.5, settings),
         ]
-        return cls(seed, _in_order(series))
+        return cls(seed, _sort_faults(series))
 
     def of(self, target: str) -> list[Fault]:
         return [fault for fault in self.faults if fault.target == target]
 
 
-def _stops(draw: random.Random, settings: SoakSettings) -> tuple[Fault, ...]:
+def _draw_stops(draw: random.Random, settings: SoakSettings) -> tuple[Fault, ...]:
     edges = [
-        _series(draw, name, _STOPS_EDGE_KINDS, 1.0, settings, _STOPS_LONGEST)
+        _draw_series(draw, name, _STOPS_EDGE_KINDS, 1.0, settings, _STOPS_LONGEST)
         for name in EDGES
     ]
-    desks = [_series(draw, name, _STOPS_DESK_KINDS, 0.5, settings) for name in DESKS]
-    return _in_order([*edges, *desks])
+    desks = [
+        _draw_series(draw, name, _STOPS_DESK_KINDS, 0.5, settings) for name in DESKS
+    ]
+    return _sort_faults([*edges, *desks])
 
 
-def _in_order(series: list[list[Fault]]) -> tuple[Fault, ...]:
+def _sort_faults(series: list[list[Fault]]) -> tuple[Fault, ...]:
     faults = [fault for one in series for fault in one]
     return tuple(sorted(faults, key=lambda fault: fault.at))
 
 
-def _series(
+def _draw_series(
     draw: random.Random,
     target: str,
     kinds: Sequence[Kind],
@@ -217,15 +219,15 @@
     longest: float = 2.4,
 ) -> list[Fault]:
     """
-    Draw faults of one process that follow one another.
+    Draw consecutive faults of one process.
 
-    :param pause: Mean time between two of them, in seconds.
-    :param longest: A fault lasts so long at most, in seconds.
+    :param pause: Mean time between two faults, in seconds.
+    :param longest: Longest duration of a fault, in seconds.
     """
     faults = []
-    at = _QUIET + draw.uniform(0, pause)
+    at = _FAULT_FREE_START + draw.uniform(0, pause)
     while at < settings.seconds:
         fault = Fault(at, target, draw.choice(kinds), draw.uniform(0.2, longest))
         faults.append(fault)
-        at += fault.lasts + draw.uniform(0.3, 1.7) * pause
+        at += fault.duration + draw.uniform(0.3, 1.7) * pause
     return faults
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Runs one seed: starts the processes, injects, checks all the while, and judges.
+Runs one seed: starts the processes, injects faults and checks the promises.
 """
 
 from __future__ import annotations
@@ -17,40 +17,39 @@
 from platform_bed import PlatformBed
 
 from .checks import Finding, judge
-from .faults import PACE, Injector, config_with_routes
+from .faults import EVENT_INTERVAL, Injector, config_with_routes
 from .load import Load
-from .observed import TRAINERS, EngineLine, Observed, Report
+from .observed import TRAINERS, EngineLine, Observations, UsageReport
 from .plan import DESKS, EDGES, POOL, Fault, SoakPlan, SoakSettings
 
 
 __all__ = ["SoakBrokenError", "Verdict", "run_seed"]
 
 _CALLERS, _TRAINERS = 4, 3
-#: How often the promises are checked, in seconds.
-_EVERY = 1.0
-#: How long everything may take to be served again after the last fault, in seconds;
-#: the platform's rules allow 12.
-_RECOVERY = 12.0
+#: Time between two checks of the promises, in seconds.
+_CHECK_INTERVAL = 1.0
+#: Time limit for recovery after the last fault, in seconds, as in the platform's rules.
+_RECOVERY_LIMIT = 12.0
 
 
 class SoakBrokenError(Exception):
     """
-    The soak itself failed, so that the run says nothing.
+    The soak itself failed, which makes its verdict invalid.
     """
 
 
 @dataclass(frozen=True)
 class Verdict:
     """
-    What came out of a seed.
+    Result of a seed.
 
-    :param faults: Injected, by kind.
-    :param requests: Of callers, a count.
-    :param samples: Results read whole, a count.
-    :param worst_recovery: Longest time from the end of a fault to the next request that
-        was answered, in seconds.
-    :param worst_after: The fault that had ended, and what callers got until then: the
-        statuses of requests that ended meanwhile, counted by edge.
+    :param faults: Number of injected faults by kind.
+    :param requests: Number of callers' requests.
+    :param samples: Number of completed results that were read.
+    :param worst_recovery: Longest time from the end of a fault to the next successful
+        request, in seconds.
+    :param worst_after: The fault of ``worst_recovery``, and the number of callers'
+        requests that ended during it, by edge and status.
     """
 
     seed: int
@@ -74,14 +73,14 @@
     """
     Run a seed.
 
-    :param folder: Keeps the logs of all processes.
-    :param progress: Told a line now and then.
+    :param folder: New folder for the logs of all processes.
+    :param progress: Called with a line of text after each check.
     :raises SoakBrokenError: If the soak itself failed.
     """
     began = time.monotonic()
     folder.mkdir(parents=True)
     plan = SoakPlan.from_seed(seed, settings)
-    seen = Observed()
+    seen = Observations()
     with PlatformBed.open(
         folder,
         edges=len(EDGES),
@@ -90,50 +89,50 @@
         config=config_with_routes(1),
     ) as bed:
         for engine in POOL:
-            bed.fake_engine(engine, pace=PACE)
+            bed.fake_engine(engine, pace=EVENT_INTERVAL)
         load = Load(bed, seen)
         injector = Injector(bed, load, seen)
-        journals = _Journals(bed, seen)
+        journals = _JournalReader(bed, seen)
         callers = load.start(seed, _CALLERS, _TRAINERS)
         series = injector.start(plan)
         try:
             while any(thread.is_alive() for thread in series):
-                time.sleep(_EVERY)
+                time.sleep(_CHECK_INTERVAL)
                 journals.follow()
-                _follow_reports(bed, seen)
+                _collect_reports(bed, seen)
                 broken = len(judge(seen))
                 progress(
                     f"seed {seed}: {time.monotonic() - injector.began:.0f} s,"
-                    f" {injector.counts.total()} faults, {len(seen.asked)} requests,"
+                    f" {injector.counts.total()} faults, {len(seen.requests)} requests,"
                     f" {broken} broken"
                 )
             load.closing.set()
-            _await_recovery(load, seen)
+            _wait_for_recovery(load, seen)
         finally:
             load.closing.set()
             load.over.set()
             for thread in (*series, *callers):
                 thread.join()
-        _read_everything(load, seen)
+        _read_all_jobs(load, seen)
         journals.follow()
-        _follow_reports(bed, seen)
+        _collect_reports(bed, seen)
     if injector.broken:
         raise SoakBrokenError(f"seed {seed}: {injector.broken[0]!r}")
     findings = tuple(dict.fromkeys(judge(seen)))
-    served = [a for a in seen.asked if a.status == 200]
+    served = [a for a in seen.requests if a.status == 200]
     worst, worst_after = _worst_recovery(injector.ends, seen)
     samples = {
         (read.job, result["id"])
-        for read in seen.read
+        for read in seen.reads
         for result in read.results
         if result["state"] == "completed"
     }
     return Verdict(
         seed=seed,
         faults=dict(sorted(injector.counts.items())),
-        requests=len(seen.asked),
+        requests=len(seen.requests),
         served=len(served),
-        jobs=sum(submitted.accepted for submitted in seen.submitted),
+        jobs=sum(submitted.accepted for submitted in seen.submissions),
         samples=len(samples),
         worst_recovery=worst,
         worst_after=worst_after,
@@ -142,12 +141,12 @@
     )
 
 
-class _Journals:
+class _JournalReader:
     """
-    Reads what the engines wrote down since the last time.
+    Reads new lines of the engines' journals.
     """
 
-    def __init__(self, bed: PlatformBed, seen: Observed) -> None:
+    def __init__(self, bed: PlatformBed, seen: Observations) -> None:
         self._paths = {name: bed.journal(name) for name in (*POOL, *DESKS)}
         self._read_to = dict.fromkeys(self._paths, 0)
         self._seen = seen
@@ -159,20 +158,20 @@
             with path.open("rb") as stream:
                 stream.seek(self._read_to[name])
                 data = stream.read()
-            # An engine may be writing its last line.
+            # The last line may be incomplete.
             whole = data[: data.rfind(b"\n") + 1]
             self._read_to[name] += len(whole)
             for line in whole.splitlines():
-                self._seen.engines.append(EngineLine(**json.loads(line)))
+                self._seen.engine_lines.append(EngineLine(**json.loads(line)))
 
 
-def _follow_reports(bed: PlatformBed, seen: Observed) -> None:
+def _collect_reports(bed: PlatformBed, seen: Observations) -> None:
     """
-    Take over the calls that the platform got since the last time.
+    Add the usage reports that the platform received since the last call.
     """
     for call in bed.fake_duties()["calls"][len(seen.reports) :]:
         seen.reports.append(
-            Report(
+            UsageReport(
                 call["window_no"],
                 tuple(sorted(call["counts"].items())),
                 call["holder"],
@@ -182,25 +181,27 @@
         )
 
 
-def _await_recovery(load: Load, seen: Observed) -> None:
+def _wait_for_recovery(load: Load, seen: Observations) -> None:
     """
-    Wait until each edge serves the newest configuration and open jobs are whole.
+    Wait until each edge serves the newest configuration and open jobs are complete.
     """
-    deadline, began = time.monotonic() + _RECOVERY, time.time()
+    deadline, began = time.monotonic() + _RECOVERY_LIMIT, time.time()
     left: set[str] = set()
     while time.monotonic() < deadline:
-        left = _not_recovered(load, began)
+        left = _find_unrecovered(load, began)
         if not left:
             return
         time.sleep(0.2)
-    seen.never.extend(f"{what} after {_RECOVERY:g} s" for what in sorted(left))
+    seen.unrecovered.extend(
+        f"{what} after {_RECOVERY_LIMIT:g} s" for what in sorted(left)
+    )
 
 
-def _not_recovered(load: Load, since: float) -> set[str]:
+def _find_unrecovered(load: Load, since: float) -> set[str]:
     """
-    Return what does not work yet, in words.
+    Return descriptions of what has not recovered.
 
-    :param since: Time of day after which usage has to be reported, in seconds.
+    :param since: Wall-clock time after which usage must be reported, in seconds.
     """
     left = set()
     for edge in EDGES:
@@ -208,7 +209,7 @@
         answer = load.bed.ask("POST", f"/r{load.routes}/", b"x", "last", edge, **key)
         if answer.status != 200:
             left.add(f"{edge} answers {answer.status} on the newest route")
-    _follow_reports(load.bed, load.seen)
+    _collect_reports(load.bed, load.seen)
     if not any(report.at > since for report in load.seen.reports):
         left.add("no usage is reported")
     draw = random.Random(0)
@@ -219,21 +220,21 @@
     return left
 
 
-def _read_everything(load: Load, seen: Observed) -> None:
+def _read_all_jobs(load: Load, seen: Observations) -> None:
     draw = random.Random(0)
-    for submitted in list(seen.submitted):
+    for submitted in list(seen.submissions):
         for edge in EDGES:
             if submitted.accepted:
                 load.read(submitted.job, 0, draw, edge)
 
 
 def _worst_recovery(
-    ends: list[tuple[float, Fault]], seen: Observed
+    ends: list[tuple[float, Fault]], seen: Observations
 ) -> tuple[float, str]:
     """
-    Return the longest time without an answer from a fault's end on, and what it was.
+    Return the longest time from a fault's end to the next success, and a description.
     """
-    served = sorted(a.at for a in seen.asked if a.status == 200)
+    served = sorted(a.at for a in seen.requests if a.status == 200)
     waits = [
         (next(at for at in served if at >= end) - end, end, fault)
         for end, fault in ends
@@ -243,9 +244,9 @@
         return 0.0, ""
     wait, end, fault = max(waits, key=lambda one: one[0])
     got = Counter(
-        f"{asked.edge} {asked.status}"
-        for asked in seen.asked
-        if end <= asked.at < end + wait
+        f"{request.edge} {request.status}"
+        for request in seen.requests
+        if end <= request.at < end + wait
     )
     told = ", ".join(f"{count} x {what}" for what, count in sorted(got.items()))
     return round(wait, 2), f"{fault.kind} of {fault.target}: {told or 'nothing'}"
--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -1,48 +1,55 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of what a soak may have seen.
+Builders of a soak's observations.
 """
 
 from __future__ import annotations
 
 from soak.checks import EVENTS
-from soak.observed import Asked, EngineLine, Observed, Read, Report, Submitted
+from soak.observed import (
+    CallerRequest,
+    EngineLine,
+    JobRead,
+    JobSubmission,
+    Observations,
+    UsageReport,
+)
 
 
 __all__ = [
-    "make_asked",
+    "make_request",
     "make_line",
     "make_read",
     "make_report",
     "make_result",
-    "make_seen",
+    "make_observations",
 ]
 
 _JOB = "job"
 
 
-def make_asked(**changes: object) -> Asked:
+def make_request(**changes: object) -> CallerRequest:
     """
-    Return a request that was answered well.
+    Return a request with a correct answer.
     """
     fields = {
         "request_id": "q",
         "target": "/look/x",
         "edge": "edge-0",
-        "life": 1,
+        "start_number": 1,
         "began": 10.0,
         "at": 10.1,
         "status": 200,
         "mark": "seal-q",
         "body": "answer to q",
     }
-    return Asked(**{**fields, **changes})
+    return CallerRequest(**{**fields, **changes})
 
 
 def make_line(what: str = "run", **changes: object) -> EngineLine:
     """
-    Return what an engine wrote down.
+    Return a line of an engine's journal.
     """
     fields = {"what": what, "engine": "engine-0", "born": 1, "at": 5.0, "id": "q"}
     return EngineLine(**{**fields, **changes})
@@ -50,7 +57,7 @@
 
 def make_result(**changes: object) -> dict:
     """
-    Return a result as a reader gets it.
+    Return a result as a read returns it.
     """
     item = "job.i0"
     fields = {
@@ -63,9 +70,9 @@
     return {**fields, **changes}
 
 
-def make_read(*results: dict, **changes: object) -> Read:
+def make_read(*results: dict, **changes: object) -> JobRead:
     """
-    Return a reading of a job of one item.
+    Return a read of a job with one item.
     """
     fields = {
         "job": _JOB,
@@ -76,12 +83,12 @@
         "total": 1,
         "results": results or (make_result(),),
     }
-    return Read(**{**fields, **changes})
+    return JobRead(**{**fields, **changes})
 
 
-def make_report(**changes: object) -> Report:
+def make_report(**changes: object) -> UsageReport:
     """
-    Return a report of usage as the platform got it.
+    Return a usage report as the platform received it.
     """
     fields = {
         "window": 7,
@@ -90,21 +97,21 @@
         "fence": 3,
         "at": 1.0,
     }
-    return Report(**{**fields, **changes})
+    return UsageReport(**{**fields, **changes})
 
 
-def make_seen(**added: list) -> Observed:
+def make_observations(**added: list) -> Observations:
     """
-    Return a job that went well, and what is added to each list.
+    Return the observations of a correct job, with more records added to each list.
     """
     events = [
         make_line("event", id="job.i0", number=n, version=2)
         for n in range(1, EVENTS + 1)
     ]
-    seen = Observed(
-        submitted=[Submitted(_JOB, 1, 2, (202,), 4.0)],
-        read=[make_read()],
-        engines=[
+    seen = Observations(
+        submissions=[JobSubmission(_JOB, 1, 2, (202,), 4.0)],
+        reads=[make_read()],
+        engine_lines=[
             make_line(id="job.i0", target="/train/0", at=4.5, tenant="red"),
             *events,
             make_line(id="job.s0", target="/look/score", at=6.0),
