--- a/packages/saddledoor-standins/src/saddledoor_standins/__init__.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Small fakes of the platform, for tests and the demo; never shipped with the daemon.
+Stand-ins of the platform for tests and the demo; not shipped with the daemon.
 """
--- a/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
@@ -23,7 +23,7 @@
 from .trainer import TrainerPlan, run_trainer
 
 
-#: Measurements that can be run alone.
+#: Names that the ``bench`` command accepts.
 _BENCHES = ["slopes", "membership", "routing", "admission", "steps", "swaps", "all"]
 
 
@@ -148,7 +148,7 @@
     """
     from saddledoor.tracing import read_trace
 
-    from .record import SCENARIOS, TWINS, write_twin
+    from .record import SCENARIOS, VIOLATING_TRACES, write_violating_trace
     from .record import record as record_one
 
     for name in SCENARIOS:
@@ -157,9 +157,9 @@
         path = record_one(name, folder)
         click.echo(f"recorded {path}")
         events = read_trace(str(path), path.read_text().splitlines())
-        for promise, (source, _) in TWINS.items():
+        for promise, (source, _) in VIOLATING_TRACES.items():
             if source == name:
-                click.echo(f"recorded {write_twin(path, events, promise)}")
+                click.echo(f"recorded {write_violating_trace(path, events, promise)}")
 
 
 @main.command()
--- a/packages/saddledoor-standins/src/saddledoor_standins/_balancer.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/_balancer.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The platform's balancer as callers see it: any VM that says it is ready.
+A client-side stand-in of the platform's load balancer: picks a random ready VM.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
 @dataclass(frozen=True)
 class Reply:
     """
-    What came back of one try.
+    Result of one attempt.
 
-    :param status: HTTP status, or 0 if no whole answer came.
-    :param connected: Whether a connection was made, so that the request may have run.
+    :param status: HTTP status, or 0 without a whole answer.
+    :param connected: Whether a connection was established, so that the request may
+        have run.
     """
 
     vm: str
@@ -35,7 +36,7 @@
 
 class Balancer:
     """
-    Sends each request to a random VM that was ready at the last check.
+    Sends each request to a random VM that passed the last readiness check.
     """
 
     def __init__(
@@ -48,7 +49,9 @@
 
     async def run_checks(self, every: float = 0.5) -> None:
         """
-        Ask every VM whether it is ready, again and again.
+        Check the readiness of every VM periodically.
+
+        :param every: Interval between checks, in seconds.
         """
         while True:
             answers = await asyncio.gather(*(self._is_ready(vm) for vm in self._vms))
@@ -68,9 +71,10 @@
         vm: str | None = None,
     ) -> Reply:
         """
-        Try once at one VM.
+        Send a request once, to one VM.
 
-        :param vm: A certain VM's HTTP address; any ready one by default.
+        :param timeout: Time limit, in seconds.
+        :param vm: HTTP address of the VM; None for a random ready one.
         """
         vm = vm or self._random.choice(self._ready)
         headers = {
--- a/packages/saddledoor-standins/src/saddledoor_standins/_serve.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/_serve.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-How every stand-in serves HTTP, and how it cuts a connection on purpose.
+HTTP serving for the stand-ins, with connections that can be cut on purpose.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
     background: Callable[[], Coroutine] | None = None,
 ) -> None:
     """
-    Serve an application until a signal ends it.
+    Serve an application until SIGTERM or SIGINT.
 
-    :param background: Makes a coroutine that runs beside the server.
+    :param background: Returns a coroutine that runs beside the server; None for none.
     """
     asyncio.run(_serve(address, app, background))
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/_trace_file.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/_trace_file.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What stand-ins saw, in the form of the daemons' traces.
+Traces of stand-ins in the format of the daemons' traces.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 def trace_to(path: str, node: str) -> Callable[[Event], None]:
     """
-    Return a function that appends an event to a file; without a path it does nothing.
+    Return a function that appends events to a file, or ignores them without a path.
     """
     if not path:
         return lambda event: None
     file = Path(path).open("a", buffering=1)  # noqa: SIM115
 
     def emit(event: Event) -> None:
-        # The clock that the daemons use, so that the files can be put in order.
+        # The daemons' clock, so that events of all files can be sorted.
         now = time.clock_gettime(time.CLOCK_BOOTTIME)
         file.write(encode_traced(TracedEvent(now, node, event)) + "\n")
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/__init__.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Measurements that the docs quote; each prints a table and returns its rows.
+Measurements for the docs; each prints a table and returns its rows.
 """
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/_process.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/_process.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a process costs, read from the kernel.
+Processor time and memory of a process, read from the kernel.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 def cpu_seconds(pid: int) -> float:
     """
-    Return the processor time that a process's threads have used, in seconds.
+    Return the processor time of a process's threads, in seconds.
 
-    From the scheduler's own account: the usual one counts ticks of 10 ms, too coarse
-    for a process that is idle but for short wake-ups.
+    Reads the scheduler's statistics, as the usual counter's resolution of 10 ms is too
+    coarse for an almost idle process.
     """
     total = 0
     for thread in Path(f"/proc/{pid}/task").iterdir():
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/_table.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/_table.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Tables of measurements.
+Prints tables of measurements.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 __all__ = ["PLOTS", "print_table"]
 
-#: Where plots are written, below the folder in which the measurement runs.
+#: Folder for plots, relative to the working directory.
 PLOTS = Path("docs/bench")
 
 
 def print_table(title: str, head: Sequence[str], rows: Sequence[Sequence]) -> None:
     """
-    Print rows in columns; numbers with three significant digits.
+    Print rows in aligned columns, with floats in three significant digits.
     """
     texts = [[_text(cell) for cell in row] for row in rows]
     widths = [
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/admission.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/admission.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-Admission and fairness: the daemon's queue against plain first come, first served.
+Admission and fairness: compares the daemon's queue with a FIFO queue.
 
-Both queues stand in front of the same slots in this process, with the same arrivals.
+Both queues run in this process with the same number of slots and the same arrivals.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 _SLOTS = 16
 #: Mean work of a request, in seconds and in tokens.
-_WORK = 0.04
-_TOKENS = 20.0
-#: How long requests arrive, in seconds.
-_SECONDS = 4.0
-#: When a guest gives up, in seconds.
+_MEAN_SECONDS = 0.04
+_MEAN_TOKENS = 20.0
+#: Time during which requests arrive, in seconds.
+_ARRIVAL_SECONDS = 4.0
+#: Time limit of a request, in seconds.
 _DEADLINE = 0.5
 _PARTNERS = ("a", "b", "c", "d")
-#: Requests that may wait in the daemon's queue, a count.
+#: Capacity of the daemon's queue, in requests.
 _CAPACITY = 64
 #: Names of the baseline and of the daemon's queue.
-_NAMES = ("first come", "fair, bounded")
-#: Runs at the same time; each is mostly asleep.
+_QUEUE_NAMES = ("first come", "fair, bounded")
+#: Number of parallel runs.
 _WORKERS = 4
 
 
@@ -46,25 +46,25 @@
     granted: asyncio.Future = field(repr=False)
 
 
-class _Fifo:
+class _FifoQueue:
     """
-    The baseline: one line without bound, served in order, whoever still waits.
+    The baseline: an unbounded FIFO queue that ignores deadlines.
     """
 
     def __init__(self) -> None:
-        self._line: deque[_Waiter] = deque()
+        self._waiting: deque[_Waiter] = deque()
 
     def push(self, waiter: _Waiter, work: WorkClass, cost: float) -> bool:
-        self._line.append(waiter)
+        self._waiting.append(waiter)
         return True
 
     def pop(self) -> _Waiter | None:
-        return self._line.popleft() if self._line else None
+        return self._waiting.popleft() if self._waiting else None
 
 
-class _Fair:
+class _BoundedFairQueue:
     """
-    The daemon's queue: fair by cost, bounded, and passing over who gave up.
+    The daemon's queue: bounded, fair by cost, skipping requests that timed out.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -85,60 +85,60 @@
 
 class _DisplacedError(Exception):
     """
-    Another partner's request took the place of this one.
+    The request was displaced from the queue by another partner's request.
     """
 
 
 @dataclass
-class _Seen:
-    asked: int = 0
-    good: int = 0
-    refused_after: list[float] = field(default_factory=list)
-    waited: list[float] = field(default_factory=list)
+class _Outcomes:
+    requests: int = 0
+    in_time: int = 0
+    refusal_times: list[float] = field(default_factory=list)
+    latencies: list[float] = field(default_factory=list)
 
 
-class _Gate:
+class _Server:
     """
-    Slots with a queue in front.
+    A server with a fixed number of slots and a queue.
     """
 
-    def __init__(self, queue: _Fifo | _Fair) -> None:
+    def __init__(self, queue: _FifoQueue | _BoundedFairQueue) -> None:
         self._queue = queue
         self._free = _SLOTS
 
     async def serve(
-        self, partner: str, work: WorkClass, seconds: float, seen: _Seen
+        self, partner: str, work: WorkClass, seconds: float, outcomes: _Outcomes
     ) -> None:
         """
-        Pass one request through; it gives up at its deadline.
+        Serve one request with its time limit.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        seen.asked += 1
+        outcomes.requests += 1
         waiter = _Waiter(partner, began + _DEADLINE, loop.create_future())
-        cost = seconds / _WORK * _TOKENS
+        cost = seconds / _MEAN_SECONDS * _MEAN_TOKENS
         if not self._queue.push(waiter, work, cost):
-            seen.refused_after.append(loop.time() - began)
+            outcomes.refusal_times.append(loop.time() - began)
             return
         self._grant()
         try:
-            # A baseline without deadlines works on what nobody waits for any more.
+            # Shielded, as the baseline also serves requests that timed out.
             await asyncio.wait_for(asyncio.shield(waiter.granted), _DEADLINE)
         except _DisplacedError:
-            seen.refused_after.append(loop.time() - began)
+            outcomes.refusal_times.append(loop.time() - began)
             return
         except TimeoutError:
-            seen.refused_after.append(loop.time() - began)
-            if isinstance(self._queue, _Fair):
+            outcomes.refusal_times.append(loop.time() - began)
+            if isinstance(self._queue, _BoundedFairQueue):
                 waiter.granted.cancel()
                 return
             await waiter.granted
         await asyncio.sleep(seconds)
         self._free += 1
         self._grant()
-        took = loop.time() - began
-        seen.waited.append(took)
-        seen.good += took <= _DEADLINE
+        latency = loop.time() - began
+        outcomes.latencies.append(latency)
+        outcomes.in_time += latency <= _DEADLINE
 
     def _grant(self) -> None:
         while self._free > 0:
@@ -152,37 +152,41 @@
 
 
 async def _run(
-    queue: _Fifo | _Fair, rates: dict[str, float], work: WorkClass, seed: int
-) -> dict[str, _Seen]:
-    gate = _Gate(queue)
-    seen = {partner: _Seen() for partner in rates}
+    queue: _FifoQueue | _BoundedFairQueue,
+    rates: dict[str, float],
+    work: WorkClass,
+    seed: int,
+) -> dict[str, _Outcomes]:
+    server = _Server(queue)
+    outcomes = {partner: _Outcomes() for partner in rates}
     loop = asyncio.get_running_loop()
     tasks: list[asyncio.Task] = []
 
     async def send(partner: str, rate: float) -> None:
-        chance = random.Random(f"{seed}/{partner}")
+        rng = random.Random(f"{seed}/{partner}")
         at = loop.time()
-        end = at + _SECONDS
+        end = at + _ARRIVAL_SECONDS
         while at < end:
-            at += chance.expovariate(rate)
+            at += rng.expovariate(rate)
             await asyncio.sleep(max(0.0, at - loop.time()))
-            seconds = chance.expovariate(1 / _WORK)
-            one = gate.serve(partner, work, seconds, seen[partner])
+            seconds = rng.expovariate(1 / _MEAN_SECONDS)
+            one = server.serve(partner, work, seconds, outcomes[partner])
             tasks.append(asyncio.create_task(one))
 
     await asyncio.gather(*(send(p, rate) for p, rate in rates.items()))
-    _, late = await asyncio.wait(tasks, timeout=2.0)
-    for task in late:
+    _, unfinished = await asyncio.wait(tasks, timeout=2.0)
+    for task in unfinished:
         task.cancel()
-    return seen
+    return outcomes
 
 
 @dataclass(frozen=True)
 class _Case:
     """
-    One run of one queue.
+    Parameters of a run.
 
-    :param rates: Requests a second, by partner.
+    :param fair: Whether to use the daemon's queue.
+    :param rates: Requests per second by partner.
     """
 
     fair: bool
@@ -190,42 +194,44 @@
     seed: int
 
 
-def _run_case(case: _Case) -> dict[str, _Seen]:
-    queue = _Fair(_CAPACITY) if case.fair else _Fifo()
+def _run_case(case: _Case) -> dict[str, _Outcomes]:
+    queue = _BoundedFairQueue(_CAPACITY) if case.fair else _FifoQueue()
     rates = dict(case.rates)
     return asyncio.run(_run(queue, rates, WorkClass.INTERACTIVE, case.seed))
 
 
-def _run_all(cases: list[_Case]) -> dict[_Case, dict[str, _Seen]]:
+def _run_all(cases: list[_Case]) -> dict[_Case, dict[str, _Outcomes]]:
     with ProcessPoolExecutor(_WORKERS) as pool:
         return dict(zip(cases, pool.map(_run_case, cases), strict=True))
 
 
-def _rates(each: float, flooding: float = 1.0) -> tuple[tuple[str, float], ...]:
+def _rates(each: float, flood_factor: float = 1.0) -> tuple[tuple[str, float], ...]:
     first, *others = _PARTNERS
-    return ((first, each * flooding), *((partner, each) for partner in others))
+    return ((first, each * flood_factor), *((partner, each) for partner in others))
 
 
 def overload(seed: int = 1) -> list[tuple]:
     """
-    Measure goodput within the deadline at 1, 2 and 5 times what can be served.
+    Measure goodput at a load of 1, 2 and 5 times the capacity.
 
-    :returns: Rows of factor, queue, share of capacity that was useful, and the 99th
+    :returns: Rows of load factor, queue, goodput as a share of capacity, and the 99th
         percentile of the time to a refusal in ms.
     """
-    capacity = _SLOTS / _WORK
+    capacity = _SLOTS / _MEAN_SECONDS
     cases = [
         _Case(fair, _rates(capacity * factor / len(_PARTNERS)), seed)
         for factor in (1.0, 2.0, 5.0)
         for fair in (False, True)
     ]
     rows = []
-    for case, seen in _run_all(cases).items():
-        good = sum(s.good for s in seen.values()) / (capacity * _SECONDS)
-        refused = sorted(t for s in seen.values() for t in s.refused_after)
+    for case, outcomes in _run_all(cases).items():
+        in_time = sum(s.in_time for s in outcomes.values()) / (
+            capacity * _ARRIVAL_SECONDS
+        )
+        refused = sorted(t for s in outcomes.values() for t in s.refusal_times)
         slowest = refused[int(len(refused) * 0.99)] * 1000 if refused else 0.0
         factor = sum(rate for _, rate in case.rates) / capacity
-        rows.append((factor, _NAMES[case.fair], good, slowest))
+        rows.append((factor, _QUEUE_NAMES[case.fair], in_time, slowest))
     head = ("load", "queue", "goodput / capacity", "refusal p99 ms")
     print_table("overload: answered within 0.5 s", head, rows)
     plot_bars(
@@ -233,39 +239,39 @@
         "Answered within the deadline, as a share of capacity",
         "share",
         [f"{row[0]:.0f}x load" for row in rows[::2]],
-        {name: [r[2] for r in rows if r[1] == name] for name in _NAMES},
+        {name: [r[2] for r in rows if r[1] == name] for name in _QUEUE_NAMES},
     )
     return rows
 
 
 def fairness(seeds: tuple[int, ...] = (1, 2, 3)) -> list[tuple]:
     """
-    Measure what a partner that floods at ten times its share costs the others.
+    Measure the effect of a partner at ten times its share on the others.
 
-    :returns: Rows of seed, queue, the others' answered share before and during, and
-        the share that they lost.
+    :returns: Rows of seed, queue, the others' share of requests answered in time
+        without and with the overload, and the relative loss.
     """
-    share = 0.8 * _SLOTS / _WORK / len(_PARTNERS)
-    calm, flood = _rates(share), _rates(share, 10.0)
+    share = 0.8 * _SLOTS / _MEAN_SECONDS / len(_PARTNERS)
+    normal, flooded = _rates(share), _rates(share, 10.0)
     cases = [
         _Case(fair, rates, seed)
         for seed in seeds
         for fair in (False, True)
-        for rates in (calm, flood)
+        for rates in (normal, flooded)
     ]
     results = _run_all(cases)
     rows = []
     for seed in seeds:
         for fair in (False, True):
-            before = _others_answered(results[_Case(fair, calm, seed)])
-            during = _others_answered(results[_Case(fair, flood, seed)])
+            before = _others_answered(results[_Case(fair, normal, seed)])
+            during = _others_answered(results[_Case(fair, flooded, seed)])
             lost = 1 - during / before
-            rows.append((seed, _NAMES[fair], before, during, lost))
+            rows.append((seed, _QUEUE_NAMES[fair], before, during, lost))
     head = ("seed", "queue", "others before", "others during", "lost")
     print_table("one partner floods at ten times its share", head, rows)
     return rows
 
 
-def _others_answered(seen: dict[str, _Seen]) -> float:
-    others = [s for partner, s in seen.items() if partner != _PARTNERS[0]]
-    return sum(s.good for s in others) / sum(s.asked for s in others)
+def _others_answered(outcomes: dict[str, _Outcomes]) -> float:
+    others = [s for partner, s in outcomes.items() if partner != _PARTNERS[0]]
+    return sum(s.in_time for s in others) / sum(s.requests for s in others)
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/plots.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/plots.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Plots of measurements, if the library for plots is installed.
+Plots of measurements, if matplotlib is installed.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
     Write grouped bars as SVG.
 
     :param groups: Names of the groups of bars.
-    :param series: By name, a value for each group.
-    :returns: False if the library for plots is not installed.
+    :param series: Values by name of the series, one for each group.
+    :returns: Whether the plot was written; False if matplotlib is not installed.
     """
     try:
         import matplotlib
@@ -33,18 +33,18 @@
     except ImportError:
         print(f"no plot {path.name}: pip install -r requirements-plots.txt")
         return False
-    # The same measurement gives the same file.
+    # Makes the output reproducible.
     matplotlib.rcParams["svg.hashsalt"] = "saddledoor"
     figure = Figure(figsize=(9, 4))
     axes = figure.subplots()
     width = 0.8 / len(series)
-    for place, (name, values) in enumerate(series.items()):
-        at = [group + place * width for group in range(len(groups))]
+    for index, (name, values) in enumerate(series.items()):
+        at = [group + index * width for group in range(len(groups))]
         axes.bar(at, values, width, label=name)
     axes.set_xticks([g + 0.4 - width / 2 for g in range(len(groups))], groups)
     axes.set_title(title)
     axes.set_ylabel(unit)
-    axes.set_yscale("log" if _wide(series) else "linear")
+    axes.set_yscale("log" if _needs_log_scale(series) else "linear")
     axes.legend()
     figure.tight_layout()
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -52,6 +52,6 @@
     return True
 
 
-def _wide(series: Mapping[str, Sequence[float]]) -> bool:
+def _needs_log_scale(series: Mapping[str, Sequence[float]]) -> bool:
     values = [value for row in series.values() for value in row if value > 0]
     return bool(values) and max(values) / min(values) > 20
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/routing.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/routing.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Choice of engine: each policy against the plain baselines, on the same small engines.
+Choice of engine: compares routing policies with simple baselines.
 
-Engines are queues with slots in this process; nodes see their own work at once and
-reports that lag. Arrivals and lengths come from one seed, the same for every policy.
+Engines are simulated in this process by slots with a queue. Nodes know their own
+requests in flight and receive delayed load reports. Arrivals and lengths are drawn from
+the same seed for every policy.
 """
 
 from __future__ import annotations
@@ -36,26 +37,27 @@
 _SLOTS = 4
 _NODES = 4
 #: Mean work of a request, in seconds.
-_WORK = 0.08
-#: How long requests arrive, in seconds.
-_SECONDS = 6.0
+_MEAN_SECONDS = 0.08
+#: Time during which requests arrive, in seconds.
+_ARRIVAL_SECONDS = 6.0
 
 POLICIES: dict[str, Callable[[random.Random], RoutingPolicy]] = {
-    "random": lambda chance: uniform(chance.random),
-    "round robin": lambda chance: round_robin(),
-    "least reported": lambda chance: least_reported(),
-    "two choices": lambda chance: two_choices(chance.random, _WORK),
-    "least outstanding": lambda chance: least_outstanding(chance.random),
+    "random": lambda rng: uniform(rng.random),
+    "round robin": lambda rng: round_robin(),
+    "least reported": lambda rng: least_reported(),
+    "two choices": lambda rng: two_choices(rng.random, _MEAN_SECONDS),
+    "least outstanding": lambda rng: least_outstanding(rng.random),
 }
 
 
 @dataclass(frozen=True)
 class Case:
     """
-    One run.
+    Parameters of a run.
 
-    :param load: Share of the engines' capacity that arrives.
-    :param lag: Age of the reports that nodes see, in seconds.
+    :param policy: Name of the policy.
+    :param load: Arriving work as a share of the engines' capacity.
+    :param lag: Interval of the load reports that nodes receive, in seconds.
     :param slow: Factor by which one engine is slower.
     """
 
@@ -81,33 +83,35 @@
 
 class _Node:
     """
-    A router's own view: its work in flight, and reports as old as the lag.
+    A router that knows its own requests in flight and delayed load reports.
     """
 
     def __init__(self, engines: list[_Engine], case: Case, number: int) -> None:
         self._engines = engines
         self._case = case
         self._choose = POLICIES[case.policy](random.Random(case.seed * 100 + number))
-        self._own = [0] * len(engines)
+        self._in_flight = [0] * len(engines)
         self.reports = [0] * len(engines)
 
     async def serve(self, seconds: float) -> None:
         candidates = [
-            Candidate(str(i), _SLOTS, self._own[i], self.reports[i], self._case.lag / 2)
+            Candidate(
+                str(i), _SLOTS, self._in_flight[i], self.reports[i], self._case.lag / 2
+            )
             for i in range(len(self._engines))
         ]
         index = int(self._choose(candidates).name)
-        self._own[index] += 1
+        self._in_flight[index] += 1
         await self._engines[index].work(seconds)
-        self._own[index] -= 1
+        self._in_flight[index] -= 1
 
 
 async def _run(case: Case) -> list[float]:
-    chance = random.Random(case.seed)
+    rng = random.Random(case.seed)
     engines = [_Engine(case.slow if i == 0 else 1.0) for i in range(_ENGINES)]
     nodes = [_Node(engines, case, number) for number in range(_NODES)]
     loop = asyncio.get_running_loop()
-    taken: list[float] = []
+    latencies: list[float] = []
 
     async def report() -> None:
         while True:
@@ -116,26 +120,28 @@
             for node in nodes:
                 node.reports = seen
 
-    async def one(node: _Node, seconds: float) -> None:
+    async def serve_one(node: _Node, seconds: float) -> None:
         began = loop.time()
         await node.serve(seconds)
-        taken.append(loop.time() - began)
+        latencies.append(loop.time() - began)
 
     reporter = asyncio.create_task(report())
-    rate = case.load * _ENGINES * _SLOTS / _WORK
-    end = loop.time() + _SECONDS
+    rate = case.load * _ENGINES * _SLOTS / _MEAN_SECONDS
+    end = loop.time() + _ARRIVAL_SECONDS
     at = loop.time()
-    begun = []
+    tasks = []
     while at < end:
-        at += chance.expovariate(rate)
+        at += rng.expovariate(rate)
         await asyncio.sleep(max(0.0, at - loop.time()))
-        node = nodes[chance.randrange(_NODES)]
-        begun.append(asyncio.create_task(one(node, chance.expovariate(1 / _WORK))))
-    await asyncio.wait(begun, timeout=4.0)
+        node = nodes[rng.randrange(_NODES)]
+        tasks.append(
+            asyncio.create_task(serve_one(node, rng.expovariate(1 / _MEAN_SECONDS)))
+        )
+    await asyncio.wait(tasks, timeout=4.0)
     reporter.cancel()
-    # What has not ended counts as long as it has waited.
-    taken += [4.0] * sum(1 for task in begun if not task.done())
-    return taken
+    # Unfinished requests are counted with the time limit above.
+    latencies += [4.0] * sum(1 for task in tasks if not task.done())
+    return latencies
 
 
 def run_case(case: Case) -> tuple[float, float]:
@@ -144,13 +150,13 @@
 
     :returns: Median and 99th percentile of the time in the system, in seconds.
     """
-    taken = sorted(asyncio.run(_run(case)))
-    return statistics.median(taken), taken[int(len(taken) * 0.99)]
+    latencies = sorted(asyncio.run(_run(case)))
+    return statistics.median(latencies), latencies[int(len(latencies) * 0.99)]
 
 
 def routing(workers: int = 4) -> dict[Case, tuple[float, float]]:
     """
-    Run every policy under loads, lags and a slow engine; print ratios to random.
+    Run every policy at several loads and lags and with a slow engine; print a table.
     """
     cases = [
         Case(policy, load, lag)
@@ -159,7 +165,7 @@
         for policy in POLICIES
     ]
     cases += [Case(policy, 0.8, 1.0, slow=4.0) for policy in POLICIES]
-    # The spread: the case that the docs quote, with other seeds.
+    # Other seeds of one case, to show the variation.
     cases += [
         Case(policy, 0.95, 1.0, seed=seed) for seed in (2, 3) for policy in POLICIES
     ]
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Slopes for docs/CAPACITY.md: what each role costs per node, engine, request and token.
+Resource costs per node, engine, request and token, for docs/CAPACITY.md.
 """
 
 from __future__ import annotations
@@ -40,24 +40,24 @@
 from ._table import print_table
 
 
-__all__ = ["claims", "configuration", "membership", "requests", "step_book"]
+__all__ = ["claims", "configuration", "membership", "requests", "step_delivery"]
 
-#: How long daemons are watched, in seconds.
-_WATCHED = 10.0
-#: How long they settle first, in seconds.
-_SETTLE = 6.0
+#: Measurement time of idle daemons, in seconds.
+_MEASURED_SECONDS = 10.0
+#: Time between the start of the daemons and the measurement, in seconds.
+_SETTLE_SECONDS = 6.0
 
 
-#: VMs and engines of the data centre that is measured.
+#: Numbers of VMs and engines in the measured data centre.
 _SIZES = ((4, 4), (8, 8), (16, 16), (32, 32), (16, 64))
 
 
 def membership(sizes: tuple[tuple[int, int], ...] = _SIZES) -> list[tuple]:
     """
-    Measure idle daemons of one data centre beside a small other one.
+    Measure the idle daemons of one of two data centres.
 
     :returns: Rows of VMs, back ends, processor share in percent of a core (median and
-        largest), resident megabytes (largest), control bytes a second both ways.
+        largest), resident megabytes (largest), control bytes per second both ways.
     """
     rows = []
     for size, engines in sizes:
@@ -67,26 +67,26 @@
             services={"dc-a": 1},
         )
         with Testbed.open(shape) as bed:
-            time.sleep(_SETTLE)
-            rows.append((size, engines + 1, *_watch(bed)))
+            time.sleep(_SETTLE_SECONDS)
+            rows.append((size, engines + 1, *_measure_idle(bed)))
     head = ("VMs", "back ends", "core % median", "core % max", "MB max", "bytes/s")
     print_table("membership, idle, per daemon", head, rows)
     return rows
 
 
-def _watch(bed: Testbed) -> tuple[float, float, float, float]:
+def _measure_idle(bed: Testbed) -> tuple[float, float, float, float]:
     names = [name for name in bed.vms if name.startswith("dc-a")]
     pids = [bed.process(name).popen.pid for name in names]
     before = [cpu_seconds(pid) for pid in pids]
     bytes_before = [_control_bytes(bed, name) for name in names]
-    time.sleep(_WATCHED)
+    time.sleep(_MEASURED_SECONDS)
     shares = [
-        (cpu_seconds(pid) - used) / _WATCHED * 100
+        (cpu_seconds(pid) - used) / _MEASURED_SECONDS * 100
         for pid, used in zip(pids, before, strict=True)
     ]
-    # Each pull is answered by another daemon: what all asked for is what all served.
+    # Twice the bytes pulled: in sum, daemons send as much as they pull.
     bytes_each = [
-        2 * (_control_bytes(bed, name) - sent) / _WATCHED
+        2 * (_control_bytes(bed, name) - sent) / _MEASURED_SECONDS
         for name, sent in zip(names, bytes_before, strict=True)
     ]
     memory = max(resident_mb(pid) for pid in pids)
@@ -137,17 +137,19 @@
 
 def configuration(sizes: tuple[int, ...] = (75, 300, 1200)) -> list[tuple]:
     """
-    Measure a configuration record.
+    Measure the size and decoding time of a configuration record.
 
     :returns: Rows of engines, canonical bytes, packed bytes, milliseconds to unpack
-        and check.
+        and validate.
     """
     rows = []
     for engines in sizes:
         data = deployment_to_json(_deployment(engines))
         packed = pack_document(data)
-        took = _milliseconds(lambda p=packed: deployment_from_json(unpack_document(p)))
-        rows.append((engines, len(data), len(packed), took))
+        milliseconds = _milliseconds(
+            lambda p=packed: deployment_from_json(unpack_document(p))
+        )
+        rows.append((engines, len(data), len(packed), milliseconds))
     head = ("engines", "bytes", "packed", "ms to accept")
     print_table("configuration record", head, rows)
     return rows
@@ -155,11 +157,11 @@
 
 def claims(count: int = 22_000) -> list[tuple]:
     """
-    Measure the fold of one partition of claims.
+    Measure the time and memory of folding one partition of claims.
 
     :returns: One row: keys, microseconds and bytes of memory per key, bytes per record.
     """
-    # As the daemon does it: from the log's text, which is dropped again.
+    # Encoded records, as the daemon reads them from the log.
     texts = [
         encode_record(
             ClaimBatch((KeyClaim(key_digest("p", "s", str(n)), f"{n:032x}", "o" * 60),))
@@ -183,12 +185,12 @@
     return [row]
 
 
-def step_book(samples: int = 4096, tokens: int = 480) -> list[tuple]:
+def step_delivery(samples: int = 4096, tokens: int = 480) -> list[tuple]:
     """
-    Measure a step's book at the target's size.
+    Measure the memory and time of the delivery of a large step.
 
-    :returns: One row: samples, megabytes when all are ready, ms for the list of what
-        is missing, ms per fetch of 256.
+    :returns: One row: samples, megabytes when all are ready, ms to list the missing
+        ones, ms per fetch of 256.
     """
     specs = [
         SampleSpec(Slot(n // 8, n % 8), f"prompt {n // 8}", tokens)
@@ -216,9 +218,10 @@
 
 def requests(count: int = 300) -> list[tuple]:
     """
-    Measure the entry path of one daemon.
+    Measure the processor time per request of one daemon.
 
-    :returns: Rows of kind, requests, milliseconds of the daemon's processor each.
+    :returns: Rows of kind, requests, answered requests, milliseconds of processor time
+        per request.
     """
     one = {"dc-a": 1}
     shape = Shape(vms=one, engines=one, services=one, slots=16)
@@ -239,32 +242,32 @@
             with ThreadPoolExecutor(8) as pool:
                 codes = [answer.code for answer in pool.map(send, range(number))]
             seconds = time.perf_counter() - began
-            # The idle share, measured by `membership`, is taken off.
-            spent = cpu_seconds(pid) - used - 0.01 * seconds
+            # Subtracts the processor share of an idle daemon.
+            used_by_requests = cpu_seconds(pid) - used - 0.01 * seconds
             answered = codes.count(100)
-            rows.append((kind, number, answered, spent / number * 1000))
+            rows.append((kind, number, answered, used_by_requests / number * 1000))
     head = ("kind", "requests", "answered", "ms of processor each")
     print_table("entry path, one daemon", head, rows)
     return rows
 
 
 def _milliseconds(work: Callable[[], object], times: int = 5) -> float:
-    taken = []
+    durations = []
     for _ in range(times):
         began = time.perf_counter()
         work()
-        taken.append((time.perf_counter() - began) * 1000)
-    return statistics.median(taken)
+        durations.append((time.perf_counter() - began) * 1000)
+    return statistics.median(durations)
 
 
 def all_slopes() -> dict[str, list[tuple]]:
     """
-    Measure everything that docs/CAPACITY.md is worked out from.
+    Run all measurements that docs/CAPACITY.md is based on.
     """
     return {
         "configuration": configuration(),
         "claims": claims(),
-        "step_book": step_book(),
+        "step_book": step_delivery(),
         "requests": requests(),
         "membership": membership(),
     }
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/steps.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/steps.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The training step: order of samples, and idle time against staleness.
+Training steps: order of samples, and the trade-off of idle time and staleness.
 """
 
 from __future__ import annotations
@@ -24,45 +24,45 @@
 _TOKEN_S = 0.0005
 
 
-def _specs(seed: int) -> list[SampleSpec]:
-    chance = random.Random(seed)
+def _make_specs(seed: int) -> list[SampleSpec]:
+    rng = random.Random(seed)
     specs = []
     for number in range(160):
-        tokens = 60 + chance.randrange(60)
-        tokens *= 12 if chance.random() < 0.04 else 1
+        tokens = 60 + rng.randrange(60)
+        tokens *= 12 if rng.random() < 0.04 else 1
         specs.append(SampleSpec(Slot(number // 8, number % 8), "p", tokens))
     return specs
 
 
-async def _step(specs: list[SampleSpec], arrange: StepOrder) -> tuple[float, int]:
+async def _run_step(specs: list[SampleSpec], arrange: StepOrder) -> tuple[float, int]:
     slots = asyncio.Semaphore(_SLOTS)
-    made = 0
+    generated = 0
 
-    async def one(spec: SampleSpec) -> None:
-        nonlocal made
+    async def run_sample(spec: SampleSpec) -> None:
+        nonlocal generated
         async with slots:
             await asyncio.sleep(spec.max_tokens * _TOKEN_S)
-            made += spec.max_tokens
+            generated += spec.max_tokens
 
     began = time.perf_counter()
-    # Tasks queue for slots in the order in which they are made.
-    await asyncio.gather(*(one(spec) for spec in arrange(specs)))
-    return time.perf_counter() - began, made
+    # Tasks acquire slots in the order of their creation.
+    await asyncio.gather(*(run_sample(spec) for spec in arrange(specs)))
+    return time.perf_counter() - began, generated
 
 
 def order(seeds: tuple[int, ...] = (1, 2, 3, 4, 5)) -> list[tuple]:
     """
-    Measure how long a step with a long tail takes, by the order of its samples.
+    Measure the duration of a step with a long tail by the order of its samples.
 
     :returns: Rows of seed, seconds in order, seconds longest first, their ratio.
     """
     rows = []
     for seed in seeds:
-        specs = _specs(seed)
-        asked = sum(spec.max_tokens for spec in specs)
-        baseline, made = asyncio.run(_step(specs, in_order))
-        candidate, made_too = asyncio.run(_step(specs, longest_first))
-        if (made, made_too) != (asked, asked):
+        specs = _make_specs(seed)
+        requested = sum(spec.max_tokens for spec in specs)
+        baseline, generated = asyncio.run(_run_step(specs, in_order))
+        candidate, candidate_generated = asyncio.run(_run_step(specs, longest_first))
+        if (generated, candidate_generated) != (requested, requested):
             raise AssertionError("lengths delivered are not the lengths asked for")
         rows.append((seed, baseline, candidate, candidate / baseline))
     head = ("seed", "in order s", "longest first s", "ratio")
@@ -81,15 +81,15 @@
     """
     Measure both settings of a trainer's preference with real processes.
 
-    Weights are published when a fifth of the step is there, with a bound of one.
+    Weights are published after a fifth of the step; the staleness bound is one.
 
-    :returns: Rows of seed, preference, seconds of the step, seconds that fetches
-        waited, mean versions behind.
+    :returns: Rows of seed, preference, duration of the step in seconds, seconds spent
+        in fetches, mean staleness in versions.
     """
     rows = []
-    for wanted in ("idle", "staleness"):
+    for setting in ("idle", "staleness"):
         for seed in seeds:
-            with Testbed.open(Shape(preference=wanted)) as bed:
+            with Testbed.open(Shape(preference=setting)) as bed:
                 plan = TrainerPlan(
                     vms=tuple(vm.http for vm in bed.vms.values()),
                     trainer=TRAINER,
@@ -102,7 +102,7 @@
                 )
                 seen = asyncio.run(run_trainer(plan))
             behind = seen["mean_behind"]
-            rows.append((seed, wanted, seen["seconds"], seen["waited_s"], behind))
+            rows.append((seed, setting, seen["seconds"], seen["waited_s"], behind))
     head = ("seed", "preference", "step s", "waited s", "versions behind")
     print_table("idle time against staleness, 96 samples", head, rows)
     return rows
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/swaps.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/swaps.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Weight swaps in waves: time until all engines have the new version, and capacity left.
+Weight swaps in waves: duration and remaining capacity.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 def swaps() -> list[tuple]:
     """
-    Measure a swap of eight engines in one data centre, alone and under failure.
+    Measure a swap of eight engines in one data centre, without and with failures.
 
-    :returns: Rows of what happened, seconds until all engines have the version, and
-        the least share of engines that were not pausing.
+    :returns: Rows of failure, seconds until all engines have the version, and the
+        smallest share of engines that were not paused.
     """
     rows = []
     for name in ("nothing fails", "one engine fails its swap", "the holder is killed"):
@@ -34,7 +34,7 @@
             timings=QUICK,
         )
         with Testbed.open(shape) as bed:
-            holder = until(lambda b=bed: _holder(b))
+            holder = until(lambda b=bed: _find_lease_holder(b))
             if name.startswith("one engine"):
                 bed.fake("engine-1", fail_activate=1)
             began = time.monotonic()
@@ -49,7 +49,7 @@
     return rows
 
 
-def _holder(bed: Testbed) -> str | None:
+def _find_lease_holder(bed: Testbed) -> str | None:
     for view in bed.status("dc-a-vm1")["vms"]:
         if "control/dc-a" in view["leases"]:
             return view["vm"]
@@ -58,7 +58,7 @@
 
 def _capacity_left(bed: Testbed) -> float:
     pauses = [tuple(p) for name in bed.engines for p in bed.fake(name)["pauses"]]
-    most = max(
+    most_paused = max(
         sum(1 for began, ended in pauses if began <= at < ended) for at, _ in pauses
     )
-    return 1 - most / _ENGINES
+    return 1 - most_paused / _ENGINES
--- a/packages/saddledoor-standins/src/saddledoor_standins/demo.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/demo.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-The demo: a whole deployment as separate processes, with failures, judged by what its
-callers and back ends saw.
+The demo: runs a whole deployment as separate processes, injects failures and checks
+what callers and back ends observed.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from .demo_outcome import (
     CONFIG_LIMIT,
     FIRST_VERSION,
+    Measurements,
     Site,
-    Watch,
     is_clean,
     judge,
+    read_status,
     runs_by_reference,
-    status_of,
     watch_weights,
 )
 from .fleet import Fleet, Vm, daemon_settings, read_json, wait_listening
@@ -33,12 +33,12 @@
 
 __all__ = ["run_demo"]
 
-#: How long the killed engine stays away, in seconds.
-_ENGINE_AWAY = 3.0
-#: Where the log's streams for the burn report are kept.
-_DUMP = Path("build/demo-log.json")
-#: How long daemons may take to write their last totals, in seconds.
-_BURN_SETTLES = 2.5
+#: Downtime of the killed engine, in seconds.
+_ENGINE_DOWNTIME = 3.0
+#: File for the log's streams that the burn report reads.
+_DUMP_PATH = Path("build/demo-log.json")
+#: Time for daemons to write their last totals, in seconds.
+_BURN_REPORT_DELAY = 2.5
 
 
 def run_demo(path: Path) -> int:
@@ -53,7 +53,7 @@
         with Fleet.open() as fleet:
             result = _run(fleet, site)
     except KeyboardInterrupt:
-        _say("interrupted; every process was ended")
+        _print_progress("interrupted; every process was ended")
         return 130
     result["seconds"] = round(time.monotonic() - began, 1)
     print(json.dumps(result))
@@ -63,43 +63,47 @@
 def _run(fleet: Fleet, site: Site) -> dict:
     _start_platform(fleet, site)
     _start_daemons(fleet, site)
-    watch = Watch()
+    measurements = Measurements()
     first = _publish(fleet, site, site.path, base=None)
-    watch.configs.append(_until_in_force(site, first, watch))
-    _say(f"configuration {first} is in force on {len(site.vms)} VMs")
-    _until_slots_known(site)
+    measurements.configs.append(_wait_until_in_force(site, first, measurements))
+    _print_progress(f"configuration {first} is in force on {len(site.vms)} VMs")
+    _wait_for_reports(site)
 
     trainers = [_start_trainer(fleet, site, t) for t in site.deployment["trainers"]]
     guests = _start_guests(fleet, site)
-    watcher = threading.Thread(target=watch_weights, args=(site, watch), daemon=True)
-    watcher.start()
-    _say("guests and trainers are at work")
+    watch_thread = threading.Thread(
+        target=watch_weights, args=(site, measurements), daemon=True
+    )
+    watch_thread.start()
+    _print_progress("guests and trainers are at work")
 
     time.sleep(2.0)
     victim = list(site.engines)[1]
-    _kill_engine(fleet, site, victim, watch)
+    _kill_engine(fleet, site, victim, measurements)
     second = _publish_change(fleet, site, first)
-    watch.configs.append(_until_in_force(site, second, watch))
-    _say(f"configuration {second} is in force after {watch.configs[-1]:.2f} s")
+    measurements.configs.append(_wait_until_in_force(site, second, measurements))
+    _print_progress(
+        f"configuration {second} is in force after {measurements.configs[-1]:.2f} s"
+    )
     time.sleep(1.0)
-    stopped = _vm_with_steps(site)
-    stopped_at = _stop_vm(fleet, stopped, watch)
+    stopped = _choose_vm_to_stop(site)
+    stopped_at = _stop_vm(fleet, stopped, measurements)
 
-    trainer_results = [_result_of(process) for process in trainers]
-    _say("trainers have their steps")
-    guest_result = _result_of(guests)
+    trainer_results = [_read_result(process) for process in trainers]
+    _print_progress("trainers have their steps")
+    guest_result = _read_result(guests)
     status = fleet.processes[stopped.name].wait()
-    _say(f"{stopped.name} ended with status {status}")
-    watch.done.set()
-    watcher.join(10.0)
+    _print_progress(f"{stopped.name} ended with status {status}")
+    measurements.done.set()
+    watch_thread.join(10.0)
     _dump_log(site)
     runs = runs_by_reference(site)
     return judge(
-        watch, trainer_results, guest_result, runs, stopped, stopped_at, status
+        measurements, trainer_results, guest_result, runs, stopped, stopped_at, status
     )
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"demo: {text}", flush=True)
 
 
@@ -128,7 +132,7 @@
         read_json(url, {"version": FIRST_VERSION})
     listed = [vm.listed for vm in site.vms]
     read_json(f"http://{platform['vm_list']}/fake", {"vms": listed})
-    _say(f"the platform runs: {len(addresses)} stand-ins")
+    _print_progress(f"the platform runs: {len(addresses)} stand-ins")
 
 
 def _start_engine(fleet: Fleet, site: Site, engine: dict) -> None:
@@ -157,7 +161,7 @@
         )
         fleet.daemon(vm.name, settings)
     wait_listening([vm.http for vm in site.vms])
-    _say(f"{len(site.vms)} daemons run, one per entry VM")
+    _print_progress(f"{len(site.vms)} daemons run, one per entry VM")
 
 
 def _publish(fleet: Fleet, site: Site, path: Path, base: int | None) -> int:
@@ -182,26 +186,30 @@
     return _publish(fleet, site, path, base)
 
 
-def _until_in_force(site: Site, offset: int, watch: Watch) -> float:
+def _wait_until_in_force(site: Site, offset: int, measurements: Measurements) -> float:
     began = time.monotonic()
     while time.monotonic() - began < 2 * CONFIG_LIMIT:
-        views = [status_of(vm) for vm in site.vms if vm.name not in watch.gone]
+        views = [
+            read_status(vm)
+            for vm in site.vms
+            if vm.name not in measurements.unavailable
+        ]
         if all(view and view["config_offset"] >= offset for view in views):
             break
         time.sleep(0.05)
     return time.monotonic() - began
 
 
-def _until_slots_known(site: Site) -> None:
-    # The demo's steps should begin when every VM has heard of the engines.
-    give_up = time.monotonic() + 10.0
+def _wait_for_reports(site: Site) -> None:
+    # The trainers' steps should start after the VMs received the engines' reports.
+    deadline = time.monotonic() + 10.0
     data_centres = len(site.deployment["data_centres"])
-    while time.monotonic() < give_up:
-        views = [status_of(vm) for vm in site.vms]
-        heard = [
+    while time.monotonic() < deadline:
+        views = [read_status(vm) for vm in site.vms]
+        complete = [
             v and len(v["sites"]) == data_centres - 1 and v["backends"] for v in views
         ]
-        if sum(map(bool, heard)) >= data_centres:
+        if sum(map(bool, complete)) >= data_centres:
             return
         time.sleep(0.1)
 
@@ -237,52 +245,56 @@
     return fleet.start(name, command, stdout=subprocess.PIPE)
 
 
-def _result_of(process) -> dict:
+def _read_result(process) -> dict:
     output, _ = process.popen.communicate(timeout=90)
     if process.popen.returncode != 0:
         raise RuntimeError(f"{process.name} failed:\n{process.log()}")
     return json.loads(output)
 
 
-def _kill_engine(fleet: Fleet, site: Site, name: str, watch: Watch) -> None:
+def _kill_engine(
+    fleet: Fleet, site: Site, name: str, measurements: Measurements
+) -> None:
     fleet.processes[name].signal(signal.SIGKILL)
-    watch.gone.add(name)
-    _say(f"killed engine {name}")
+    measurements.unavailable.add(name)
+    _print_progress(f"killed engine {name}")
 
-    def come_back() -> None:
-        time.sleep(_ENGINE_AWAY)
+    def restart() -> None:
+        time.sleep(_ENGINE_DOWNTIME)
         _start_engine(fleet, site, site.engines[name])
         wait_listening([site.engines[name]["address"]])
-        watch.back_at[name] = time.time()
-        watch.gone.discard(name)
-        _say(f"engine {name} is back, with its old weights")
+        measurements.restarted_at[name] = time.time()
+        measurements.unavailable.discard(name)
+        _print_progress(f"engine {name} is back, with its old weights")
 
-    threading.Thread(target=come_back, daemon=True).start()
+    threading.Thread(target=restart, daemon=True).start()
 
 
-def _vm_with_steps(site: Site) -> Vm:
-    # Stopping a collector is the harder case.
+def _choose_vm_to_stop(site: Site) -> Vm:
+    # A VM that collects a step is preferred: stopping it must not lose samples.
     for vm in site.vms:
-        view = status_of(vm)
+        view = read_status(vm)
         if view and view["steps"]:
             return vm
     return site.vms[-1]
 
 
-def _stop_vm(fleet: Fleet, vm: Vm, watch: Watch) -> float:
-    watch.gone.add(vm.name)
+def _stop_vm(fleet: Fleet, vm: Vm, measurements: Measurements) -> float:
+    measurements.unavailable.add(vm.name)
     fleet.processes[vm.name].signal(signal.SIGTERM)
-    _say(f"stopping {vm.name} as planned")
+    _print_progress(f"stopping {vm.name} as planned")
     return time.time()
 
 
 def _dump_log(site: Site) -> None:
     """
-    Keep what the burn report is worked out from: the log ends with the demo.
+    Save the streams that the burn report reads, as the log is lost with the demo.
     """
-    time.sleep(_BURN_SETTLES)
+    time.sleep(_BURN_REPORT_DELAY)
     url = f"http://{site.platform['log']}/v1/streams"
     pages = {name: read_json(f"{url}/{name}?from=0") for name in ("config", "burn")}
-    _DUMP.parent.mkdir(exist_ok=True)
-    _DUMP.write_text(json.dumps(pages))
-    _say(f"for the burn report: saddledoorctl report burn --dump {_DUMP}")
+    _DUMP_PATH.parent.mkdir(exist_ok=True)
+    _DUMP_PATH.write_text(json.dumps(pages))
+    _print_progress(
+        f"for the burn report: saddledoorctl report burn --dump {_DUMP_PATH}"
+    )
--- a/packages/saddledoor-standins/src/saddledoor_standins/demo_outcome.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/demo_outcome.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What the demo is made of, what it watches, and how it judges what callers saw.
+The demo's description, measurements and verdict.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 __all__ = [
     "CONFIG_LIMIT",
     "FIRST_VERSION",
+    "Measurements",
     "Site",
-    "Watch",
     "is_clean",
     "judge",
+    "read_status",
     "runs_by_reference",
-    "status_of",
     "watch_weights",
 ]
 
 #: Weight version of all engines at the start.
 FIRST_VERSION = 1
-#: A configuration must be in force everywhere within this time, in seconds.
+#: Time limit for a configuration to be in force on all VMs, in seconds.
 CONFIG_LIMIT = 10.0
-#: New weights must be on all engines within this time, in seconds.
+#: Time limit for new weights to be active on all engines, in seconds.
 _WEIGHTS_LIMIT = 8.0
 
 
 @dataclass(frozen=True)
 class Site:
     """
-    The two files that describe a demo: the deployment and its platform.
+    The deployment file of a demo and the file that describes its platform.
     """
 
     path: Path
@@ -59,7 +59,7 @@
     @property
     def vms(self) -> list[Vm]:
         """
-        The entry VMs, one loopback address each.
+        The entry VMs, each with its own loopback address.
         """
         network = self.platform["vm_network"]
         vms = []
@@ -83,51 +83,61 @@
 
 
 @dataclass
-class Watch:
+class Measurements:
     """
-    Measures how long weights and configurations take to be everywhere.
+    Measurements of the rollout of weights and configurations, and their shared state.
+
+    :ivar weights: Rollout time of each version on each engine, in seconds.
+    :ivar configs: Rollout time of each configuration, in seconds.
+    :ivar unavailable: Names of engines and VMs that are stopped.
+    :ivar restarted_at: Wall-clock time at which each killed engine was started again.
+    :ivar done: Set when the measurement ends.
     """
 
     weights: list[float] = field(default_factory=list)
     configs: list[float] = field(default_factory=list)
-    gone: set[str] = field(default_factory=set)
-    back_at: dict[str, float] = field(default_factory=dict)
+    unavailable: set[str] = field(default_factory=set)
+    restarted_at: dict[str, float] = field(default_factory=dict)
     done: threading.Event = field(default_factory=threading.Event)
 
 
-def status_of(vm: Vm) -> dict | None:
+def read_status(vm: Vm) -> dict | None:
     try:
         return read_json(f"http://{vm.http}/v1/status", timeout=2.0)
     except OSError:
         return None
 
 
-def watch_weights(site: Site, watch: Watch) -> None:
+def watch_weights(site: Site, measurements: Measurements) -> None:
     """
-    Note, per engine, how long it took from a publication to the new version.
+    Measure the time from each publication of weights to its activation on each engine.
     """
     reached: dict[tuple[str, str, int], float] = {}
     published: dict[tuple[str, int], float] = {}
-    while not watch.done.is_set():
+    while not measurements.done.is_set():
         try:
             answer = read_json(f"http://{site.platform['weights']}/v1/weights")
         except OSError:
-            # The demo was interrupted, and the platform is gone.
+            # The demo was interrupted and the weight store has stopped.
             return
         for model, version in answer["models"].items():
             published.setdefault((model, version), answer["published_at"][model])
         for name, engine in site.engines.items():
-            versions = _versions(engine["address"]) if name not in watch.gone else {}
+            versions = (
+                _versions(engine["address"])
+                if name not in measurements.unavailable
+                else {}
+            )
             for model, version in versions.items():
                 if version > FIRST_VERSION:
                     reached.setdefault((name, model, version), time.time())
-        watch.weights = _swap_times(site, watch, published, reached)
+        measurements.weights = _rollout_times(site, measurements, published, reached)
         time.sleep(0.05)
 
 
-def _swap_times(
+def _rollout_times(
     site: Site,
-    watch: Watch,
+    measurements: Measurements,
     published: dict[tuple[str, int], float],
     reached: dict[tuple[str, str, int], float],
 ) -> list[float]:
@@ -136,7 +146,7 @@
         if version == FIRST_VERSION:
             continue
         for name in site.engines:
-            start = max(at, watch.back_at.get(name, 0.0))
+            start = max(at, measurements.restarted_at.get(name, 0.0))
             seen = reached.get((name, model, version), time.time())
             times.append(max(0.0, seen - start))
     return times
@@ -151,7 +161,7 @@
 
 def runs_by_reference(site: Site) -> dict[str, int]:
     """
-    Return how often each reference ran on the unrepeatable routes, over all instances.
+    Return the number of runs of each reference on unrepeatable routes.
     """
     runs: dict[str, int] = {}
     for service in site.deployment["services"]:
@@ -168,7 +178,7 @@
 
 
 def judge(
-    watch: Watch,
+    measurements: Measurements,
     trainers: Sequence[dict],
     guests: dict,
     runs: dict[str, int],
@@ -180,12 +190,12 @@
         return sum(result[name] for result in trainers)
 
     cut = guests["cut_by"].get(stopped.http, [])
-    said_not_run = [ref for ref in guests["not_run_refs"] if ref in runs]
+    reported_not_run = [ref for ref in guests["not_run_refs"] if ref in runs]
     return {
         "requests": guests["requests"],
         "answered": guests["answered"],
         "not_run": guests["not_run"],
-        "not_run_but_ran": len(said_not_run),
+        "not_run_but_ran": len(reported_not_run),
         "unknown": guests["unknown"],
         "wrong_or_partial": guests["wrong_or_partial"] + total("samples_wrong"),
         "unrepeatable_runs": sum(runs.values()),
@@ -198,14 +208,16 @@
         "samples_of_mixed_versions": total("samples_of_mixed_versions"),
         "inflight_cut_by_planned_stop": sum(1 for at in cut if at >= stopped_at),
         "planned_stop_status": status,
-        "config_in_force_s_max": round(max(watch.configs), 2),
-        "engines_on_new_weights_s_max": round(max(watch.weights, default=0.0), 2),
+        "config_in_force_s_max": round(max(measurements.configs), 2),
+        "engines_on_new_weights_s_max": round(
+            max(measurements.weights, default=0.0), 2
+        ),
         "trainer_seconds_max": max(result["seconds"] for result in trainers),
     }
 
 
 def is_clean(result: dict) -> bool:
-    harm = (
+    violations = (
         "not_run_but_ran",
         "unknown",
         "wrong_or_partial",
@@ -217,7 +229,7 @@
         "planned_stop_status",
     )
     return (
-        all(result[name] == 0 for name in harm)
+        all(result[name] == 0 for name in violations)
         and result["samples_delivered"] == result["samples_expected"]
         and result["config_in_force_s_max"] <= CONFIG_LIMIT
         and 0 < result["engines_on_new_weights_s_max"] <= _WEIGHTS_LIMIT
--- a/packages/saddledoor-standins/src/saddledoor_standins/engine.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/engine.py
@@ -3,8 +3,8 @@
 """
 Stand-in of a model engine: a batch of slots, weight versions, orders and faults.
 
-Each token's text tells who made it, with which version, for which prompt and at which
-place, so that whoever receives an answer can check it without asking anyone.
+The text of each token contains the weight version, the engine, the prompt's tag and the
+token's index, so that a receiver can check an answer by its text alone.
 """
 
 from __future__ import annotations
@@ -29,12 +29,15 @@
 @dataclass(frozen=True)
 class EngineOptions:
     """
-    How an engine behaves.
+    Options of an engine.
 
-    :param slots: Requests in its batch, a count.
+    :param slots: Largest number of requests in its batch.
     :param token_s: Time per token of one request, in seconds.
-    :param chunk: Tokens per part of a stream, a count.
-    :param activate_s: Pause of all streams while weights change, in seconds.
+    :param chunk: Tokens per event of a stream.
+    :param activate_s: Pause of all streams during a weight swap, in seconds.
+    :param fenced: Whether it refuses orders with old fencing numbers.
+    :param weight_store: URL of the weight store; None for staging without downloads.
+    :param version: Weight version at the start.
     """
 
     name: str
@@ -50,7 +53,7 @@
 
 def prompt_tag(prompt: str) -> str:
     """
-    Return what stands for the prompt in each token.
+    Return the tag that identifies the prompt in each token.
     """
     return hashlib.sha256(prompt.encode()).hexdigest()[:8]
 
@@ -72,12 +75,12 @@
 
 
 @dataclass
-class _Waiting:
+class _QueuedRequest:
     priority: int
     order: int
     future: asyncio.Future = field(repr=False)
 
-    def __lt__(self, other: _Waiting) -> bool:
+    def __lt__(self, other: _QueuedRequest) -> bool:
         return (self.priority, self.order) < (other.priority, other.order)
 
 
@@ -93,10 +96,10 @@
         self.started: dict[str, int] = {}
         self.orders: list[dict] = []
         self.pauses: list[tuple[float, float]] = []
-        self._waiting: list[_Waiting] = []
-        self._count = itertools.count()
-        self._running_weights = asyncio.Event()
-        self._running_weights.set()
+        self._waiting: list[_QueuedRequest] = []
+        self._arrival_numbers = itertools.count()
+        self._weights_ready = asyncio.Event()
+        self._weights_ready.set()
 
     async def load(self, request: web.Request) -> web.Response:
         return web.json_response(
@@ -116,12 +119,12 @@
         request_id = request.headers.get("X-Request-Id", "")
         if body["model"] not in self.versions:
             return web.json_response({"error": "no such model"}, status=404)
-        await self._enter(int(body.get("priority", 0)))
+        await self._acquire_slot(int(body.get("priority", 0)))
         try:
             self.started[request_id] = self.started.get(request_id, 0) + 1
             return await self._stream(request, request_id, body)
         finally:
-            self._leave()
+            self._release_slot()
 
     async def _stream(
         self, request: web.Request, request_id: str, body: dict
@@ -132,24 +135,24 @@
         tag = prompt_tag(body["prompt"])
         offset = int(body.get("resume", {}).get("tokens", 0))
         length = int(body["max_tokens"])
-        breaks_at = length // 2 if self.faults.cut_streams > 0 else -1
-        if breaks_at >= 0:
+        cut_at = length // 2 if self.faults.cut_streams > 0 else -1
+        if cut_at >= 0:
             self.faults.cut_streams -= 1
-        made = 0
-        while made < length:
-            count = min(self.options.chunk, length - made)
+        generated = 0
+        while generated < length:
+            count = min(self.options.chunk, length - generated)
             await asyncio.sleep(count * self.options.token_s * self.faults.slow)
-            await self._running_weights.wait()
+            await self._weights_ready.wait()
             version = self.versions[body["model"]]
             texts = [
-                token_text(version, self.options.name, tag, offset + made + i)
+                token_text(version, self.options.name, tag, offset + generated + i)
                 for i in range(count)
             ]
-            made += count
-            finish = "length" if made == length else None
+            generated += count
+            finish = "length" if generated == length else None
             event = self._event(request_id, "".join(texts), count, version, finish)
             await response.write(f"data: {json.dumps(event)}\n\n".encode())
-            if 0 <= breaks_at <= made:
+            if 0 <= cut_at <= generated:
                 cut(request)
                 return response
         await response.write(b"data: [DONE]\n\n")
@@ -170,21 +173,23 @@
             del event["weight_version"]
         return event
 
-    async def _enter(self, priority: int) -> None:
+    async def _acquire_slot(self, priority: int) -> None:
         if self.running < self.options.slots and not self._waiting:
             self.running += 1
             return
         loop = asyncio.get_running_loop()
-        waiting = _Waiting(priority, next(self._count), loop.create_future())
+        waiting = _QueuedRequest(
+            priority, next(self._arrival_numbers), loop.create_future()
+        )
         heapq.heappush(self._waiting, waiting)
         try:
             await waiting.future
         except asyncio.CancelledError:
             if waiting.future.done() and not waiting.future.cancelled():
-                self._leave()
+                self._release_slot()
             raise
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         while self._waiting:
             waiting = heapq.heappop(self._waiting)
             if not waiting.future.done():
@@ -226,7 +231,7 @@
         if self.faults.pretend_activate > 0:
             self.faults.pretend_activate -= 1
             return web.json_response({"state": "done"})
-        self._running_weights.clear()
+        self._weights_ready.clear()
         began = time.clock_gettime(time.CLOCK_BOOTTIME)
         try:
             await asyncio.sleep(self.options.activate_s)
@@ -236,7 +241,7 @@
                 return web.json_response({"error": "swap failed"}, status=500)
             self.versions[model] = version
         finally:
-            self._running_weights.set()
+            self._weights_ready.set()
             ended = time.clock_gettime(time.CLOCK_BOOTTIME)
             self.pauses.append((began, ended))
         return web.json_response({"state": "done"})
@@ -260,7 +265,7 @@
 
 def engine_app(options: EngineOptions) -> web.Application:
     """
-    Return an engine.
+    Return the application of an engine.
     """
     engine = _Engine(options)
     app = web.Application(client_max_size=64_000_000)
--- a/packages/saddledoor-standins/src/saddledoor_standins/fleet.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/fleet.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Starts and ends the processes of a deployment on loopback addresses.
+Starts and stops the processes of a deployment on loopback addresses.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 __all__ = ["Fleet", "Process", "Vm", "daemon_settings", "read_json", "wait_listening"]
 
-#: How long a process may take to end after SIGTERM, in seconds.
-_END_TIMEOUT = 15.0
+#: Time limit for a process to exit after SIGTERM, in seconds.
+_EXIT_TIMEOUT = 15.0
 
 
 @dataclass(frozen=True)
 class Vm:
     """
-    An entry VM: its name, data centre and one loopback address.
+    An entry VM with its name, data centre and loopback address.
     """
 
     name: str
@@ -50,7 +50,7 @@
     @property
     def listed(self) -> dict[str, str]:
         """
-        The VM as the platform lists it.
+        The VM's entry in the platform's list.
         """
         return {
             "vm": self.name,
@@ -64,7 +64,7 @@
 @dataclass
 class Process:
     """
-    A process that this fleet started.
+    A process of a fleet.
     """
 
     name: str
@@ -79,7 +79,7 @@
         if self.running:
             self.popen.send_signal(number)
 
-    def wait(self, timeout: float = _END_TIMEOUT) -> int:
+    def wait(self, timeout: float = _EXIT_TIMEOUT) -> int:
         return self.popen.wait(timeout)
 
     def log(self) -> str:
@@ -88,7 +88,7 @@
 
 class Fleet:
     """
-    A set of processes that end together, whatever happens to the caller.
+    A set of processes that are stopped together when the context ends.
     """
 
     def __init__(self) -> None:
@@ -100,26 +100,26 @@
     @contextlib.contextmanager
     def open(cls) -> Iterator[Fleet]:
         """
-        Yield a fleet and end its processes afterwards, also on Ctrl-C.
+        Yield a fleet and stop its processes afterwards, also on Ctrl-C.
         """
         fleet = cls()
 
         def stop(number: int, frame: object) -> None:
             raise KeyboardInterrupt
 
-        before = signal.signal(signal.SIGTERM, stop)
+        previous_handler = signal.signal(signal.SIGTERM, stop)
         try:
             yield fleet
         finally:
             # A second Ctrl-C must not leave processes behind.
-            interrupt = signal.signal(signal.SIGINT, signal.SIG_IGN)
+            interrupt_handler = signal.signal(signal.SIGINT, signal.SIG_IGN)
             fleet.end()
-            signal.signal(signal.SIGINT, interrupt)
-            signal.signal(signal.SIGTERM, before)
+            signal.signal(signal.SIGINT, interrupt_handler)
+            signal.signal(signal.SIGTERM, previous_handler)
 
     def start(self, name: str, command: Sequence[str], **options: object) -> Process:
         """
-        Start a process; its output goes to a file.
+        Start a process with its output redirected to a file.
         """
         path = self.folder / f"{name}.log"
         with path.open("ab") as output:
@@ -128,7 +128,7 @@
                 stdout=options.pop("stdout", output),
                 stderr=output,
                 stdin=subprocess.DEVNULL,
-                # Ctrl-C goes to the launcher alone, which ends everything in order.
+                # Only the launcher receives Ctrl-C; it then stops all processes.
                 start_new_session=True,
                 env={**os.environ, "PYTHONUNBUFFERED": "1"},
             )
@@ -154,10 +154,10 @@
 
     def end(self) -> None:
         """
-        End every process that still runs.
+        Kill all running processes and delete the folder.
         """
         for process in self.processes.values():
-            # A stopped process cannot end before it is continued.
+            # In case the process is paused by SIGSTOP.
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
         for process in self.processes.values():
@@ -195,27 +195,30 @@
 
 def wait_listening(addresses: Sequence[str], timeout: float = 30.0) -> None:
     """
-    Wait until every address takes connections.
+    Wait until every address accepts connections.
 
-    :raises TimeoutError: Naming the first that does not.
+    :param timeout: Time limit, in seconds.
+    :raises TimeoutError: If an address does not; the message names it.
     """
-    give_up = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     for address in addresses:
         host, _, port = address.rpartition(":")
         while True:
             with contextlib.suppress(OSError):
                 socket.create_connection((host, int(port)), 0.5).close()
                 break
-            if time.monotonic() > give_up:
+            if time.monotonic() > deadline:
                 raise TimeoutError(f"nothing listens on {address}")
             time.sleep(0.03)
 
 
 def read_json(url: str, body: object = None, timeout: float = 5.0) -> dict:
     """
-    Ask a stand-in or a daemon for JSON.
+    Send a request to a stand-in or a daemon and return its JSON answer.
 
-    :raises OSError: If there is no answer.
+    :param body: Body of a POST request; None for a GET request.
+    :param timeout: Time limit, in seconds.
+    :raises OSError: If the request fails.
     """
     data = None if body is None else json.dumps(body).encode()
     request = Request(url, data=data, headers={"Content-Type": "application/json"})
--- a/packages/saddledoor-standins/src/saddledoor_standins/forwarder.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/forwarder.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-A TCP forwarder that can cut, delay or lose answers, to bring about failures.
+A TCP forwarder that injects connection failures, delays and lost answers.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 
 class Forwarder:
     """
-    Passes bytes between a listening address and a target.
+    Forwards bytes between a listening address and a target.
 
-    :ivar mode: ``pass``, ``cut`` (refuse and close), ``hang`` (swallow both ways) or
-        ``lose_answers`` (pass requests, swallow answers).
+    :ivar mode: ``pass``, ``cut`` (refuse and close), ``hang`` (discard both ways) or
+        ``lose_answers`` (pass requests, discard answers).
+    :ivar delay: Delay of each read, in seconds.
     """
 
     def __init__(self, listen: str, target: str) -> None:
@@ -28,7 +29,7 @@
         self._target = target
         self.mode = "pass"
         self.delay = 0.0
-        self._open: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -42,12 +43,14 @@
 
     def set_mode(self, mode: str, delay: float = 0.0) -> None:
         """
-        Change what happens to bytes; a cut closes what is open.
+        Set the mode; ``cut`` also closes open connections.
+
+        :param delay: Delay of each read, in seconds.
         """
         self.mode = mode
         self.delay = delay
         if mode == "cut":
-            for writer in list(self._open):
+            for writer in list(self._writers):
                 writer.transport.abort()
 
     async def _serve(
@@ -58,15 +61,19 @@
             return
         host, _, port = self._target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._open |= {writer, far_writer}
-        there = asyncio.create_task(self._pump(reader, far_writer, answers=False))
-        back = asyncio.create_task(self._pump(far_reader, writer, answers=True))
-        await asyncio.wait({there, back})
-        self._open -= {writer, far_writer}
+        self._writers |= {writer, target_writer}
+        to_target = asyncio.create_task(
+            self._pump(reader, target_writer, answers=False)
+        )
+        to_client = asyncio.create_task(self._pump(target_reader, writer, answers=True))
+        await asyncio.wait({to_target, to_client})
+        self._writers -= {writer, target_writer}
 
     async def _pump(
         self,
@@ -78,10 +85,10 @@
             while data := await reader.read(65_536):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                swallowed = self.mode == "hang" or (
+                discarded = self.mode == "hang" or (
                     answers and self.mode == "lose_answers"
                 )
-                if not swallowed:
+                if not discarded:
                     writer.write(data)
                     await writer.drain()
         with contextlib.suppress(OSError):
@@ -90,9 +97,9 @@
 
 def forwarder_app(routes: dict[str, str]) -> web.Application:
     """
-    Return a control endpoint over several forwarders.
+    Return the control application of several forwarders.
 
-    :param routes: Listening address to target address.
+    :param routes: Target address by listening address.
     """
     forwarders = {listen: Forwarder(listen, to) for listen, to in routes.items()}
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/guests.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/guests.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of guests and counters: look-ups, bookings and completions, each checked.
+Stand-in of guests: sends look-ups, bookings and completions and checks the answers.
 """
 
 from __future__ import annotations
@@ -21,20 +21,21 @@
 
 __all__ = ["GuestPlan", "run_guests"]
 
-#: Codes whose outcome is known to be "did not run".
+#: Result codes that guarantee that the request did not run.
 _NOT_RUN = range(200, 300)
 
 
 @dataclass(frozen=True)
 class GuestPlan:
     """
-    What the guests do.
+    The guests' requests.
 
-    :param rate: Requests begun a second.
-    :param seconds: How long requests are begun.
+    :param tokens: Tokens of the partners, used in turn.
+    :param rate: Requests started per second.
+    :param seconds: Time during which requests are started.
     :param lookup: Service and path of a repeatable call.
     :param booking: Service and path of an unrepeatable call.
-    :param deadline: When a guest gives up, in seconds.
+    :param deadline: Time limit for a request with its retries, in seconds.
     """
 
     vms: tuple[str, ...]
@@ -63,7 +64,7 @@
 
 async def run_guests(plan: GuestPlan) -> dict:
     """
-    Send the plan's requests and return what the guests saw.
+    Send the plan's requests and return their counted outcomes.
     """
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -71,11 +72,11 @@
         checks = asyncio.create_task(balancer.run_checks())
         tally = _Tally()
         guests = _Guests(plan, balancer, tally)
-        begun = []
+        tasks = []
         for number in range(int(plan.rate * plan.seconds)):
-            begun.append(asyncio.create_task(guests.one(number)))
+            tasks.append(asyncio.create_task(guests.send_one(number)))
             await asyncio.sleep(1 / plan.rate)
-        await asyncio.gather(*begun)
+        await asyncio.gather(*tasks)
         checks.cancel()
     times = sorted(tally.lookup_ms)
     result = {k: v for k, v in vars(tally).items() if k != "lookup_ms"}
@@ -92,7 +93,7 @@
         self._tally = tally
         self._random = random.Random(plan.seed)
 
-    async def one(self, number: int) -> None:
+    async def send_one(self, number: int) -> None:
         """
         Send one request of a mix: six look-ups, three bookings, one completion.
         """
@@ -111,7 +112,7 @@
         reference = uuid.uuid4().hex
         body = json.dumps({"ref": reference}).encode()
         began = time.monotonic()
-        reply = await self._until_told(
+        reply = await self._send_with_retries(
             f"/v1/services/{service}{path}", token, body, key, repeatable=True
         )
         if reply is None:
@@ -131,47 +132,47 @@
         body = json.dumps(
             {"model": self._plan.model, "prompt": prompt, "max_tokens": length}
         ).encode()
-        reply = await self._until_told("/v1/completions", token, body, "", True)
+        reply = await self._send_with_retries("/v1/completions", token, body, "", True)
         if reply is None:
             return
         text = json.loads(reply.body)["choices"][0]["text"]
         tokens = [token.split(":") for token in text.split()]
-        whole = [int(t[3]) for t in tokens] == list(range(length))
-        own = all(t[2] == prompt_tag(prompt) for t in tokens)
-        if whole and own:
+        is_complete = [int(t[3]) for t in tokens] == list(range(length))
+        matches_prompt = all(t[2] == prompt_tag(prompt) for t in tokens)
+        if is_complete and matches_prompt:
             self._tally.answered += 1
         else:
             self._tally.wrong_or_partial += 1
 
-    async def _until_told(
+    async def _send_with_retries(
         self, path: str, token: str, body: bytes, key: str, repeatable: bool
     ) -> Reply | None:
         """
-        Try until there is an answer, as docs/CALLERS.md tells callers to.
+        Send a request with the retries that docs/CALLERS.md describes.
 
-        A call with a key may be sent again with the same key; so may a repeatable one.
+        A call with a key is retried with the same key; so is a repeatable call.
         """
-        give_up = time.monotonic() + self._plan.deadline
-        last = "not_run"
-        while time.monotonic() < give_up:
+        expires_at = time.monotonic() + self._plan.deadline
+        outcome = "not_run"
+        while time.monotonic() < expires_at:
             reply = await self._balancer.send(
                 "POST",
                 path,
                 token=token,
                 body=body,
                 key=key,
-                timeout=self._left(give_up),
+                timeout=self._remaining(expires_at),
             )
             if reply.status == 200:
                 return reply
-            last, wait = self._judge(reply)
-            if last == "final" or not (repeatable or key):
+            outcome, wait = self._classify_failure(reply)
+            if outcome == "final" or not (repeatable or key):
                 break
             await asyncio.sleep(wait + self._random.random() * 0.05)
-        self._count_failure(last, body)
+        self._record_failure(outcome, body)
         return None
 
-    def _judge(self, reply: Reply) -> tuple[str, float]:
+    def _classify_failure(self, reply: Reply) -> tuple[str, float]:
         if reply.status == 0 and reply.connected:
             self._tally.cut_by.setdefault(reply.vm, []).append(time.time())
             return "unknown", 0.05
@@ -184,12 +185,12 @@
             return "final", 0.0
         return "unknown", 0.1
 
-    def _count_failure(self, last: str, body: bytes) -> None:
-        if last == "not_run":
+    def _record_failure(self, outcome: str, body: bytes) -> None:
+        if outcome == "not_run":
             self._tally.not_run += 1
             self._tally.not_run_refs.append(json.loads(body).get("ref", ""))
         else:
             self._tally.unknown += 1
 
-    def _left(self, give_up: float) -> float:
-        return max(0.1, give_up - time.monotonic())
+    def _remaining(self, expires_at: float) -> float:
+        return max(0.1, expires_at - time.monotonic())
--- a/packages/saddledoor-standins/src/saddledoor_standins/log_service.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/log_service.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of the append-only log service: streams with offsets, outages, lost answers.
+Stand-in of the append-only log service, with injected outages and lost answers.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 __all__ = ["log_app"]
 
-#: Records in one answer to a read, a count.
-_PAGE = 500
+#: Largest number of records in one answer to a read.
+_PAGE_SIZE = 500
 
 
 @dataclass
@@ -33,26 +33,26 @@
 
 class _Log:
     """
-    All streams, and the failures that a test asks for.
+    All streams, and the injected failures.
 
-    :ivar away: Every request is cut.
-    :ivar lose_answers: So many appends take effect and lose their answer.
-    :ivar refuse_appends: So many appends are cut before they take effect.
+    :ivar unreachable: Whether every connection is cut.
+    :ivar lose_answers: Number of next appends that take effect and get no answer.
+    :ivar refuse_appends: Number of next appends that are cut without taking effect.
     """
 
     def __init__(self) -> None:
         self.streams: dict[str, _Stream] = {}
-        self.away = False
+        self.unreachable = False
         self.lose_answers = 0
         self.refuse_appends = 0
         self.appends = 0
-        self._grown = asyncio.Condition()
+        self._appended = asyncio.Condition()
 
     def stream(self, name: str) -> _Stream:
         return self.streams.setdefault(name, _Stream())
 
     async def append(self, request: web.Request) -> web.Response:
-        if self.away:
+        if self.unreachable:
             return cut(request)
         if self.refuse_appends > 0:
             self.refuse_appends -= 1
@@ -64,31 +64,31 @@
             record = {"offset": stream.next_offset, "at": time.time(), "data": data}
             stream.records.append(record)
         self.appends += 1
-        async with self._grown:
-            self._grown.notify_all()
+        async with self._appended:
+            self._appended.notify_all()
         if self.lose_answers > 0:
             self.lose_answers -= 1
             return cut(request)
         return web.json_response({"first": first})
 
     async def read(self, request: web.Request) -> web.Response:
-        if self.away:
+        if self.unreachable:
             return cut(request)
         stream = self.stream(request.match_info["stream"])
         start = int(request.query.get("from", "0"))
         wait = min(30.0, float(request.query.get("wait", "0")))
         if wait > 0 and stream.next_offset <= start:
             try:
-                async with asyncio.timeout(wait), self._grown:
-                    await self._grown.wait_for(
-                        lambda: stream.next_offset > start or self.away
+                async with asyncio.timeout(wait), self._appended:
+                    await self._appended.wait_for(
+                        lambda: stream.next_offset > start or self.unreachable
                     )
             except TimeoutError:
                 pass
-        if self.away:
+        if self.unreachable:
             return cut(request)
         begin = max(start, stream.first) - stream.first
-        page = stream.records[begin : begin + _PAGE]
+        page = stream.records[begin : begin + _PAGE_SIZE]
         following = page[-1]["offset"] + 1 if page else max(start, stream.first)
         following = min(following, stream.next_offset) if not page else following
         return web.json_response(
@@ -97,7 +97,7 @@
 
     async def fake(self, request: web.Request) -> web.Response:
         body = await request.json()
-        self.away = bool(body.get("away", self.away))
+        self.unreachable = bool(body.get("away", self.unreachable))
         self.lose_answers = int(body.get("lose_answers", self.lose_answers))
         self.refuse_appends = int(body.get("refuse_appends", self.refuse_appends))
         for name, offset in body.get("drop_before", {}).items():
@@ -105,14 +105,14 @@
             kept = max(0, int(offset) - stream.first)
             stream.records = stream.records[kept:]
             stream.first += kept
-        async with self._grown:
-            self._grown.notify_all()
+        async with self._appended:
+            self._appended.notify_all()
         return web.json_response({"appends": self.appends})
 
 
 def log_app() -> web.Application:
     """
-    Return the log service.
+    Return the application of the log service.
     """
     log = _Log()
     app = web.Application(client_max_size=64_000_000)
--- a/packages/saddledoor-standins/src/saddledoor_standins/platform_services.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/platform_services.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-ins of the weight store, the scorer and the lagging list of VMs.
+Stand-ins of the weight store, the scorer and the platform's list of VMs.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 class _WeightStore:
     """
-    Newest versions, and downloads of which only so many may begin in a second.
+    Newest version of each model, and rate-limited downloads.
     """
 
     def __init__(self, per_second: int) -> None:
         self._per_second = per_second
         self._versions: dict[str, int] = {}
         self._published_at: dict[str, float] = {}
-        self._begun: deque[float] = deque()
+        self._download_times: deque[float] = deque()
         self.refused = 0
 
     async def announced(self, request: web.Request) -> web.Response:
@@ -44,21 +44,21 @@
 
     async def download(self, request: web.Request) -> web.Response:
         now = time.monotonic()
-        while self._begun and now - self._begun[0] > 1.0:
-            self._begun.popleft()
-        if len(self._begun) >= self._per_second:
+        while self._download_times and now - self._download_times[0] > 1.0:
+            self._download_times.popleft()
+        if len(self._download_times) >= self._per_second:
             self.refused += 1
             return web.Response(status=429, headers={"Retry-After": "0.2"})
-        self._begun.append(now)
+        self._download_times.append(now)
         await asyncio.sleep(0.1)
         return web.Response(body=b"weights")
 
 
 def weight_store_app(per_second: int = 20) -> web.Application:
     """
-    Return a weight store.
+    Return the application of a weight store.
 
-    :param per_second: Downloads that may begin in a second, a count.
+    :param per_second: Largest number of downloads started per second.
     """
     store = _WeightStore(per_second)
     app = web.Application()
@@ -70,7 +70,7 @@
 
 def scorer_app(name: str) -> web.Application:
     """
-    Return a service that scores samples.
+    Return the application of a service that scores samples.
     """
 
     async def score(request: web.Request) -> web.Response:
@@ -88,16 +88,16 @@
 
 def vm_list_app(lag: float = 1.0) -> web.Application:
     """
-    Return the platform's list of VMs.
+    Return the application of the platform's list of VMs.
 
-    :param lag: How old the list is that it shows, in seconds.
+    :param lag: Delay until a change is listed, in seconds.
     """
     history: list[tuple[float, list[dict]]] = [(0.0, [])]
 
     async def show(request: web.Request) -> web.Response:
         limit = time.monotonic() - lag
-        shown = [vms for at, vms in history if at <= limit]
-        return web.json_response({"vms": shown[-1] if shown else []})
+        listed = [vms for at, vms in history if at <= limit]
+        return web.json_response({"vms": listed[-1] if listed else []})
 
     async def change(request: web.Request) -> web.Response:
         body = await request.json()
--- a/packages/saddledoor-standins/src/saddledoor_standins/record.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/record.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Records traces of real processes under failure, and twins that break a promise.
+Records traces of real processes under failure, and variants that break a promise.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 from .trainer import TrainerPlan, run_trainer
 
 
-__all__ = ["SCENARIOS", "TWINS", "record", "write_twin"]
+__all__ = ["SCENARIOS", "VIOLATING_TRACES", "record", "write_violating_trace"]
 
 
 def record(name: str, folder: Path) -> Path:
     """
-    Run a scenario, write its trace and state what came out.
+    Run a scenario and write its trace and its expected outcomes.
 
     :returns: The trace's path.
     """
@@ -56,14 +56,16 @@
     return path
 
 
-def write_twin(source: Path, events: list[TracedEvent], promise: str) -> Path:
+def write_violating_trace(
+    source: Path, events: list[TracedEvent], promise: str
+) -> Path:
     """
-    Write a trace that differs in one event and breaks a promise.
+    Write a variant of a trace that differs in one event and breaks a promise.
     """
     folder = source.parent / "broken"
     folder.mkdir(exist_ok=True)
     path = folder / f"{promise}.jsonl"
-    _write(path, TWINS[promise][1](events), (promise,), {})
+    _write(path, VIOLATING_TRACES[promise][1](events), (promise,), {})
     return path
 
 
@@ -78,7 +80,7 @@
     path.with_suffix(".outcomes.json").write_text(json.dumps(stated, indent=2) + "\n")
 
 
-def _plan(bed: Testbed, **changes: object) -> TrainerPlan:
+def _make_plan(bed: Testbed, **changes: object) -> TrainerPlan:
     fields = {
         "vms": tuple(vm.http for vm in bed.vms.values()),
         "trainer": TRAINER,
@@ -98,27 +100,27 @@
     return TrainerPlan(**(fields | changes))
 
 
-def _draw(bed: Testbed, **changes: object) -> threading.Thread:
-    plan = _plan(bed, **changes)
+def _start_trainer(bed: Testbed, **changes: object) -> threading.Thread:
+    plan = _make_plan(bed, **changes)
     thread = threading.Thread(target=lambda: asyncio.run(run_trainer(plan)))
     thread.start()
     return thread
 
 
-def _collector(bed: Testbed) -> str | None:
+def _find_collector(bed: Testbed) -> str | None:
     running = [name for name in bed.vms if bed.process(name).running]
     return next((name for name in running if bed.status(name)["steps"]), None)
 
 
 def _swap_and_killed_collector(bed: Testbed) -> None:
     """
-    Weights swap in mid-step, an engine comes back with old ones, the collector dies.
+    Swap weights during a step, kill the collector, and restart an engine.
     """
     bed.fake("engine-1", pretend_activate=1)
-    trainer = _draw(bed)
+    trainer = _start_trainer(bed)
     until(lambda: bed.engine_versions().get("engine-2") == 2)
     bed.process("engine-2").signal(signal.SIGKILL)
-    victim = until(lambda: _collector(bed))
+    victim = until(lambda: _find_collector(bed))
     bed.process(victim).signal(signal.SIGKILL)
     time.sleep(0.3)
     bed.start_engine("engine-2", version=1)
@@ -127,7 +129,7 @@
 
 def _claims_under_outage(bed: Testbed) -> None:
     """
-    One key at every VM, answers of the log lost, the log away, the owner dead.
+    Send a key to every VM, lose the log's answers, cut the log off, kill the owner.
     """
     names = list(bed.vms)
     with ThreadPoolExecutor(8) as pool:
@@ -152,7 +154,7 @@
 
 def _operators_race(bed: Testbed) -> None:
     """
-    Two operators race, a VM is replaced with the log away, a data centre is cut off.
+    Publish concurrently, restart a VM without the log, cut off a data centre's log.
     """
     files = [{**bed.deployment, "limits": {"max_queue": q}} for q in (300, 400)]
     with ThreadPoolExecutor(2) as pool:
@@ -174,7 +176,7 @@
 
 def _leaving_without_log(bed: Testbed) -> None:
     """
-    An engine reports that it leaves, while the log is away for everyone.
+    Let an engine report that it is leaving while no VM can reach the log.
     """
     bed.cut_log()
     for vm in list(bed.vms) * 3:
@@ -187,10 +189,10 @@
 
 def _planned_stop(bed: Testbed) -> None:
     """
-    A collector is stopped while long requests are in flight and more keep coming.
+    Stop a collector while long requests are in flight and new ones arrive.
     """
-    trainer = _draw(bed, publish_at=2.0)
-    victim = until(lambda: _collector(bed))
+    trainer = _start_trainer(bed, publish_at=2.0)
+    victim = until(lambda: _find_collector(bed))
     with ThreadPoolExecutor(12) as pool:
         for number in range(3):
             pool.submit(bed.complete, victim, f"p{number}", 300)
@@ -203,7 +205,7 @@
     trainer.join()
 
 
-#: Scenario, promises that its trace must keep, kinds of events that are counted.
+#: By name: scenario, promises that its trace must keep, kinds of events to count.
 SCENARIOS: dict[str, tuple[Callable[[Testbed], None], tuple[str, ...], tuple]] = {
     "swap-and-killed-collector": (
         _swap_and_killed_collector,
@@ -234,10 +236,10 @@
 
 
 def _change_first(
-    fits: Callable[[Event], bool], change: Callable[[Event], Event]
+    matches: Callable[[Event], bool], change: Callable[[Event], Event]
 ) -> Callable[[list[TracedEvent]], list[TracedEvent]]:
     def mutate(events: list[TracedEvent]) -> list[TracedEvent]:
-        index = next(i for i, traced in enumerate(events) if fits(traced.event))
+        index = next(i for i, traced in enumerate(events) if matches(traced.event))
         changed = replace(events[index], event=change(events[index].event))
         return [*events[:index], changed, *events[index + 1 :]]
 
@@ -245,10 +247,10 @@
 
 
 def _insert_after(
-    fits: Callable[[Event], bool], make: Callable[[TracedEvent], TracedEvent]
+    matches: Callable[[Event], bool], make: Callable[[TracedEvent], TracedEvent]
 ) -> Callable[[list[TracedEvent]], list[TracedEvent]]:
     def mutate(events: list[TracedEvent]) -> list[TracedEvent]:
-        index = next(i for i, traced in enumerate(events) if fits(traced.event))
+        index = next(i for i, traced in enumerate(events) if matches(traced.event))
         return [*events[: index + 1], make(events[index]), *events[index + 1 :]]
 
     return mutate
@@ -259,32 +261,32 @@
     return replace(event, runs=((version + 1, first, last), *event.runs[1:]))
 
 
-def _old(event: SampleKept) -> SampleKept:
+def _exceed_staleness(event: SampleKept) -> SampleKept:
     return replace(event, version=event.version + event.bound + 1)
 
 
-def _cut_short(event: AnswerStreamed) -> AnswerStreamed:
+def _shorten_answer(event: AnswerStreamed) -> AnswerStreamed:
     return replace(event, asked=event.asked + 1)
 
 
-def _as_not_run(traced: TracedEvent) -> TracedEvent:
+def _claim_not_run(traced: TracedEvent) -> TracedEvent:
     request = traced.event.request_id.rpartition(".")[0]
     return replace(traced, event=CallEnded(request, 201))
 
 
-def _back(traced: TracedEvent) -> TracedEvent:
+def _activate_again(traced: TracedEvent) -> TracedEvent:
     return replace(traced, event=ConfigActivated(traced.event.offset))
 
 
-def _new_work(traced: TracedEvent) -> TracedEvent:
+def _grant_slot(traced: TracedEvent) -> TracedEvent:
     return replace(traced, event=SlotGranted(traced.event.backend))
 
 
-def _other_number(event: FetchAnswered) -> FetchAnswered:
+def _change_number(event: FetchAnswered) -> FetchAnswered:
     return replace(event, number=event.number + 1)
 
 
-def _lost_request(events: list[TracedEvent]) -> list[TracedEvent]:
+def _insert_unanswered_request(events: list[TracedEvent]) -> list[TracedEvent]:
     stop = next(
         i
         for i, traced in enumerate(events)
@@ -294,8 +296,10 @@
     return [*events[:stop], late, *events[stop:]]
 
 
-#: By promise: the trace that its broken twin comes from, and how it is broken.
-TWINS: dict[str, tuple[str, Callable[[list[TracedEvent]], list[TracedEvent]]]] = {
+#: By promise: the scenario whose trace is changed, and the change that breaks it.
+VIOLATING_TRACES: dict[
+    str, tuple[str, Callable[[list[TracedEvent]], list[TracedEvent]]]
+] = {
     "labels": (
         "swap-and-killed-collector",
         _change_first(lambda e: isinstance(e, SampleKept), _relabel),
@@ -306,31 +310,31 @@
     ),
     "not_run": (
         "claims-under-outage",
-        _insert_after(lambda e: isinstance(e, CallRan), _as_not_run),
+        _insert_after(lambda e: isinstance(e, CallRan), _claim_not_run),
     ),
     "exactly_once": (
         "swap-and-killed-collector",
         _change_first(
-            lambda e: isinstance(e, FetchAnswered) and e.number > 0, _other_number
+            lambda e: isinstance(e, FetchAnswered) and e.number > 0, _change_number
         ),
     ),
     "staleness": (
         "swap-and-killed-collector",
-        _change_first(lambda e: isinstance(e, SampleKept), _old),
+        _change_first(lambda e: isinstance(e, SampleKept), _exceed_staleness),
     ),
     "configuration": (
         "operators-race",
-        _insert_after(lambda e: isinstance(e, ConfigActivated), _back),
+        _insert_after(lambda e: isinstance(e, ConfigActivated), _activate_again),
     ),
     "whole_answer": (
         "swap-and-killed-collector",
         _change_first(
-            lambda e: isinstance(e, AnswerStreamed) and bool(e.runs), _cut_short
+            lambda e: isinstance(e, AnswerStreamed) and bool(e.runs), _shorten_answer
         ),
     ),
     "leaving": (
         "leaving-without-log",
-        _insert_after(lambda e: isinstance(e, LeavingSeen), _new_work),
+        _insert_after(lambda e: isinstance(e, LeavingSeen), _grant_slot),
     ),
-    "planned_stop": ("planned-stop", _lost_request),
+    "planned_stop": ("planned-stop", _insert_unanswered_request),
 }
--- a/packages/saddledoor-standins/src/saddledoor_standins/service.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/service.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of a plain service that knows how often it ran each reference.
+Stand-in of a plain service that counts the runs of each reference.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 @dataclass
 class _Faults:
     """
-    What goes wrong next; each counts down.
+    Injected faults, as the number of next requests that each applies to.
 
-    :ivar not_started: Refuse and vouch that nothing was started.
+    :ivar not_started: Refuse with the guarantee that the request did not run.
     :ivar run_and_close: Run and close the connection without an answer.
     :ivar read_and_close: Read the request and close, without running it.
+    :ivar delay_s: Delay of every request, in seconds.
     """
 
     not_started: int = 0
@@ -46,11 +47,11 @@
         self.running = 0
         self.faults = _Faults()
 
-    def _take(self, fault: str) -> bool:
-        left = getattr(self.faults, fault)
-        if left > 0:
-            setattr(self.faults, fault, left - 1)
-        return left > 0
+    def _use_fault(self, fault: str) -> bool:
+        remaining = getattr(self.faults, fault)
+        if remaining > 0:
+            setattr(self.faults, fault, remaining - 1)
+        return remaining > 0
 
     async def load(self, request: web.Request) -> web.Response:
         return web.json_response(
@@ -59,9 +60,9 @@
 
     async def call(self, request: web.Request) -> web.Response:
         raw = await request.read()
-        if self._take("not_started"):
+        if self._use_fault("not_started"):
             return web.Response(status=503, headers={"X-Not-Started": "1"})
-        if self._take("read_and_close"):
+        if self._use_fault("read_and_close"):
             return cut(request)
         reference = request.query.get("ref") or json.loads(raw or b"{}").get("ref", "")
         self.runs[f"{request.path} {reference}"] += 1
@@ -71,7 +72,7 @@
             await asyncio.sleep(0.002 + self.faults.delay_s)
         finally:
             self.running -= 1
-        if self._take("run_and_close"):
+        if self._use_fault("run_and_close"):
             return cut(request)
         return web.json_response(
             {"ref": reference, "path": request.path, "by": self.name}
@@ -87,9 +88,9 @@
 
 def service_app(name: str, trace: str = "") -> web.Application:
     """
-    Return a plain service.
+    Return the application of a plain service.
 
-    :param trace: File to record its runs in.
+    :param trace: File for the trace of its runs; empty for none.
     """
     service = _Service(name, trace)
     app = web.Application()
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
@@ -3,8 +3,8 @@
 """
 A small deployment of real processes for focused failure tests and measurements.
 
-Every address that a daemon dials out of its data centre is a forwarder, so that the
-log, a data centre or both can be cut off.
+Daemons reach the log and other data centres through forwarders, so that the log, a
+data centre or both can be cut off.
 """
 
 from __future__ import annotations
@@ -43,16 +43,17 @@
 
 def until(condition: Callable[[], object], timeout: float = 15.0) -> object:
     """
-    Wait for a condition and return what it returned.
+    Wait until a condition is true and return its value.
 
-    :raises TimeoutError: If it did not come true.
+    :param timeout: Time limit, in seconds.
+    :raises TimeoutError: If it is not true in time.
     """
-    give_up = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     while True:
         with contextlib.suppress(OSError):
             if value := condition():
                 return value
-        if time.monotonic() > give_up:
+        if time.monotonic() > deadline:
             raise TimeoutError(getattr(condition, "__doc__", None) or repr(condition))
         time.sleep(0.03)
 
@@ -62,7 +63,7 @@
     """
     An HTTP answer of a daemon.
 
-    :param status: 0 if the connection was cut before a whole answer.
+    :param status: HTTP status, or 0 without a whole answer.
     """
 
     status: int
@@ -73,7 +74,7 @@
     @property
     def code(self) -> int:
         """
-        The numbered result code.
+        The numeric result code.
         """
         if self.status == 200:
             return 100
@@ -89,7 +90,7 @@
     A running deployment.
     """
 
-    # pytest would take the class for a test by its name.
+    # Keeps pytest from collecting the class as a test.
     __test__ = False
 
     def __init__(self, fleet: Fleet, shape: Shape, network: str) -> None:
@@ -108,9 +109,9 @@
     @contextlib.contextmanager
     def open(cls, shape: Shape | None = None) -> Iterator[Testbed]:
         """
-        Start everything, publish the deployment, and end it all afterwards.
+        Start all processes, publish the deployment, and stop them afterwards.
         """
-        # One network per process, so that runs side by side do not meet.
+        # One network per process, so that parallel runs use different addresses.
         network = f"127.{40 + os.getpid() % 200}"
         with Fleet.open() as fleet:
             bed = cls(fleet, shape or Shape(), network)
@@ -135,18 +136,18 @@
 
     def start_vm(self, name: str, *, wait: bool = True) -> Process:
         """
-        Start a VM's daemon, also again after it ended.
+        Start or restart a VM's daemon.
         """
         vm = self.vms[name]
         settings = daemon_settings(
             vm,
             self.deployment["name"],
-            log_service=self._log_seen_from(vm.data_centre),
+            log_service=self._log_address(vm.data_centre),
             vm_list=self.vm_list,
             weight_store=self.weights,
             **self.shape.timings,
         )
-        settings["grpc_outside"] = self._outside(vm)
+        settings["grpc_outside"] = self._outside_address(vm)
         if self.shape.traced:
             settings["trace"] = self.trace_path(name)
         process = self.fleet.daemon(name, settings)
@@ -156,13 +157,13 @@
 
     def trace_path(self, name: str) -> str:
         """
-        Return the file in which a process records its trace.
+        Return the path of a process's trace.
         """
         return str(self.fleet.folder / f"{name}.trace")
 
     def traced(self) -> list[TracedEvent]:
         """
-        Return what all processes recorded, in the order in which it happened.
+        Return the traced events of all processes in order of time.
         """
         events: list[TracedEvent] = []
         for path in sorted(self.fleet.folder.glob("*.trace")):
@@ -172,7 +173,7 @@
 
     def start_engine(self, name: str, version: int = 1) -> None:
         """
-        Start an engine, also again after it ended.
+        Start or restart an engine.
         """
         engine = self.engines[name]
         options = {
@@ -190,22 +191,22 @@
 
     def cut_log(self, *data_centres: str, mode: str = "cut") -> None:
         """
-        Change how data centres (all by default) reach the log: see `Forwarder`.
+        Set the mode of the forwarders from data centres (default: all) to the log.
         """
         chosen = data_centres or tuple(self.shape.vms)
-        listen = [self._log_seen_from(name) for name in chosen]
+        listen = [self._log_address(name) for name in chosen]
         read_json(f"http://{self._control}/fake", {"mode": mode, "listen": listen})
 
     def cut_data_centres(self, mode: str = "cut") -> None:
         """
-        Change how VMs of different data centres reach each other.
+        Set the mode of the forwarders between VMs of different data centres.
         """
-        listen = [self._outside(vm) for vm in self.vms.values()]
+        listen = [self._outside_address(vm) for vm in self.vms.values()]
         read_json(f"http://{self._control}/fake", {"mode": mode, "listen": listen})
 
     def fake(self, name: str, **body: object) -> dict:
         """
-        Tell a stand-in to fail, or read its ledger.
+        Configure the faults of a stand-in and return its counters.
         """
         addresses = {"log": self.log, "weights": self.weights}
         addresses |= {n: e["address"] for n, e in self.engines.items()}
@@ -218,14 +219,14 @@
 
     def load(self, engine: str) -> dict:
         """
-        Return what an engine says of its load.
+        Return an engine's load report.
         """
         address = self.engines[engine]["address"]
         return read_json(f"http://{address}/v1/load", timeout=1.0)
 
     def engine_versions(self) -> dict[str, int]:
         """
-        Return the version of each engine that answers.
+        Return the weight version of each engine that answers.
         """
         versions = {}
         for name in self.engines:
@@ -235,7 +236,7 @@
 
     def runs(self) -> dict[str, int]:
         """
-        Return how often each reference ran, over all service instances.
+        Return the number of runs of each reference over all service instances.
         """
         total: dict[str, int] = {}
         for name in self.instances:
@@ -249,7 +250,7 @@
 
     def all_in_force(self, offset: int) -> bool:
         """
-        Tell whether every running VM has at least this configuration in force.
+        Return whether every running VM has this configuration or a later one in force.
         """
         running = [n for n in self.vms if self.process(n).running]
         return all(self.status(name)["config_offset"] >= offset for name in running)
@@ -265,7 +266,7 @@
 
     def publish(self, deployment: dict, base: int | None = None) -> dict:
         """
-        Publish a deployment through the command line; return what it said.
+        Publish a deployment with ``saddledoorctl`` and return its JSON output.
         """
         path = self.fleet.folder / f"deployment-{time.monotonic_ns()}.yaml"
         path.write_text(yaml.safe_dump(deployment))
@@ -288,7 +289,7 @@
         timeout: float = 20.0,
     ) -> Answer:
         """
-        Send one request to one VM, and take what comes.
+        Send one request to one VM, without retries.
         """
         headers = {"Authorization": f"Bearer {token}"}
         headers["Content-Type"] = "application/json"
@@ -330,7 +331,7 @@
 
     def complete(self, vm: str, prompt: str, max_tokens: int = 16) -> Answer:
         """
-        Ask for a completion.
+        Request a completion.
         """
         body = {"model": MODEL, "prompt": prompt, "max_tokens": max_tokens}
         return self.ask(vm, "/v1/completions", body)
@@ -339,8 +340,8 @@
         self.fleet.stand_in("log", "log", "--listen", self.log)
         self.fleet.stand_in("weights", "weights", "--listen", self.weights)
         self.fleet.stand_in("vm-list", "vms", "--listen", self.vm_list, "--lag", "0.5")
-        routes = {self._log_seen_from(dc): self.log for dc in self.shape.vms}
-        routes |= {self._outside(vm): vm.grpc for vm in self.vms.values()}
+        routes = {self._log_address(dc): self.log for dc in self.shape.vms}
+        routes |= {self._outside_address(vm): vm.grpc for vm in self.vms.values()}
         arguments = ["--listen", self._control, "--routes", json.dumps(routes)]
         self.fleet.stand_in("forwarder", "forwarder", *arguments)
         for name, instance in self.instances.items():
@@ -356,13 +357,14 @@
         )
         self.publish_weights(1)
         listed = [
-            vm.listed | {"grpc_outside": self._outside(vm)} for vm in self.vms.values()
+            vm.listed | {"grpc_outside": self._outside_address(vm)}
+            for vm in self.vms.values()
         ]
         read_json(f"http://{self.vm_list}/fake", {"vms": listed})
 
-    def _log_seen_from(self, data_centre: str) -> str:
+    def _log_address(self, data_centre: str) -> str:
         number = list(self.shape.vms).index(data_centre) + 1
         return f"{self._net}.6.{number + 1}:9000"
 
-    def _outside(self, vm: Vm) -> str:
+    def _outside_address(self, vm: Vm) -> str:
         return f"{vm.ip}:7003"
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed_document.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed_document.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The deployment that a testbed runs, built from its shape.
+Builds the deployment document of a testbed from its shape.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 
 def digest(token: str) -> str:
     """
-    Return what a deployment file keeps of a token.
+    Return the digest of a token, as in a deployment file.
     """
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-#: Shorter terms, so that tests need not wait long for a takeover.
+#: Shortened durations for fast takeovers in tests, in seconds.
 QUICK = {
     "lease_term": 2.0,
     "order_timeout": 0.9,
@@ -54,12 +54,12 @@
 @dataclass(frozen=True)
 class Shape:
     """
-    How large a testbed is.
+    Size and options of a testbed.
 
-    :param vms: VMs by data centre.
-    :param engines: Engines by data centre.
-    :param services: Service instances by data centre.
-    :param timings: Daemons' durations that differ from the defaults.
+    :param vms: Number of VMs by data centre.
+    :param engines: Number of engines by data centre.
+    :param services: Number of service instances by data centre.
+    :param timings: Daemons' durations that differ from the defaults, in seconds.
     :param traced: Whether daemons and services record traces.
     :param fenced: Whether engines refuse old fencing numbers.
     """
@@ -79,7 +79,7 @@
 
 def make_vms(shape: Shape, network: str) -> dict[str, Vm]:
     """
-    Return the VMs, one loopback address each.
+    Return the VMs by name, each with its own loopback address.
     """
     vms = {}
     for data_centre, count in shape.vms.items():
--- a/packages/saddledoor-standins/src/saddledoor_standins/trainer.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/trainer.py
@@ -28,15 +28,16 @@
 @dataclass(frozen=True)
 class TrainerPlan:
     """
-    What a trainer draws.
+    A trainer's step.
 
-    :param groups: Groups in the step, a count.
-    :param group_size: Samples in a group, a count.
+    :param groups: Number of groups in the step.
+    :param group_size: Number of samples in a group.
     :param long_share: Share of samples that are ``long_factor`` times longer.
     :param publish_at: Share of the step after which new weights are published; above
         one for never.
-    :param weight_store: Where it publishes them.
-    :param trace: File to record what it keeps in.
+    :param weight_store: URL of the weight store.
+    :param deadline: Time limit for the step, in seconds.
+    :param trace: File for the trace of received samples; empty for none.
     """
 
     vms: tuple[str, ...]
@@ -59,9 +60,9 @@
 
 
 @dataclass
-class _Book:
+class _StepState:
     """
-    What the trainer holds; its word on what it received is the truth.
+    The trainer's record of a step, with counts of incorrect samples.
     """
 
     expected: dict[tuple[int, int], dict]
@@ -76,21 +77,21 @@
     submits: int = 0
     fetches: int = 0
     mixed: int = 0
-    behind: list[int] = field(default_factory=list)
-    waited: float = 0.0
+    versions_behind: list[int] = field(default_factory=list)
+    fetch_seconds: float = 0.0
     emit: Callable = lambda event: None
 
 
 def plan_samples(plan: TrainerPlan) -> list[dict]:
     """
-    Return the step's samples, some far longer than the rest, the same for one seed.
+    Return the step's samples, deterministic by seed; a share of them is far longer.
     """
-    chance = random.Random(plan.seed)
+    rng = random.Random(plan.seed)
     samples = []
     for group in range(plan.groups):
         for index in range(plan.group_size):
-            length = plan.tokens + chance.randrange(plan.tokens)
-            if chance.random() < plan.long_share:
+            length = plan.tokens + rng.randrange(plan.tokens)
+            if rng.random() < plan.long_share:
                 length *= plan.long_factor
             prompt = f"{plan.trainer} step {plan.step} group {group}"
             samples.append(
@@ -106,65 +107,73 @@
 
 async def run_trainer(plan: TrainerPlan) -> dict:
     """
-    Draw one step and return what the trainer saw.
+    Run one step and return its measured outcomes.
     """
     samples = plan_samples(plan)
-    book = _Book({(s["group"], s["index"]): s for s in samples}, version=plan.version)
-    book.emit = trace_to(plan.trace, plan.trainer)
+    state = _StepState(
+        {(s["group"], s["index"]): s for s in samples}, version=plan.version
+    )
+    state.emit = trace_to(plan.trace, plan.trainer)
     async with aiohttp.ClientSession() as session:
         balancer = Balancer(session, plan.vms, plan.seed)
         checks = asyncio.create_task(balancer.run_checks())
         began = time.monotonic()
-        await _draw(plan, book, balancer, session, samples)
+        await _run_step(plan, state, balancer, session, samples)
         seconds = time.monotonic() - began
         checks.cancel()
     return {
         "trainer": plan.trainer,
-        "samples_expected": len(book.expected),
-        "samples_delivered": len(book.received),
-        "samples_duplicated": book.duplicated,
-        "samples_mislabelled": book.mislabelled,
-        "samples_stale": book.stale,
-        "samples_wrong": book.wrong,
-        "samples_of_mixed_versions": book.mixed,
-        "submits": book.submits,
-        "fetches": book.fetches,
-        "mean_behind": round(sum(book.behind) / max(1, len(book.behind)), 3),
-        "waited_s": round(book.waited, 2),
+        "samples_expected": len(state.expected),
+        "samples_delivered": len(state.received),
+        "samples_duplicated": state.duplicated,
+        "samples_mislabelled": state.mislabelled,
+        "samples_stale": state.stale,
+        "samples_wrong": state.wrong,
+        "samples_of_mixed_versions": state.mixed,
+        "submits": state.submits,
+        "fetches": state.fetches,
+        "mean_behind": round(
+            sum(state.versions_behind) / max(1, len(state.versions_behind)), 3
+        ),
+        "waited_s": round(state.fetch_seconds, 2),
         "seconds": round(seconds, 2),
     }
 
 
-async def _draw(
+async def _run_step(
     plan: TrainerPlan,
-    book: _Book,
+    state: _StepState,
     balancer: Balancer,
     session: aiohttp.ClientSession,
     samples: list[dict],
 ) -> None:
-    give_up = time.monotonic() + plan.deadline
+    expires_at = time.monotonic() + plan.deadline
     path = f"/v1/trainers/{plan.trainer}/steps/{plan.step}"
     submitted = False
     published = False
-    while len(book.received) < len(book.expected) and time.monotonic() < give_up:
+    while len(state.received) < len(state.expected) and time.monotonic() < expires_at:
         if not submitted:
-            submitted = await _submit(plan, book, balancer, path, samples)
+            submitted = await _submit(plan, state, balancer, path, samples)
             continue
-        submitted = await _fetch(plan, book, balancer, path)
-        share = len(book.received) / len(book.expected)
+        submitted = await _fetch(plan, state, balancer, path)
+        share = len(state.received) / len(state.expected)
         if not published and share >= plan.publish_at:
             published = True
-            await _publish(plan, book, session)
+            await _publish(plan, state, session)
 
 
 async def _submit(
-    plan: TrainerPlan, book: _Book, balancer: Balancer, path: str, samples: list[dict]
+    plan: TrainerPlan,
+    state: _StepState,
+    balancer: Balancer,
+    path: str,
+    samples: list[dict],
 ) -> bool:
-    book.submits += 1
+    state.submits += 1
     body = {
-        "version": book.version,
+        "version": state.version,
         "samples": samples,
-        "received": [list(slot) for slot in book.received],
+        "received": [list(slot) for slot in state.received],
     }
     reply = await balancer.send(
         "POST", path, token=plan.token, body=json.dumps(body).encode()
@@ -173,20 +182,22 @@
         await asyncio.sleep(max(0.05, reply.retry_after))
         return False
     data = json.loads(reply.body)
-    if data["fence"] < book.fence:
-        # An answer of a collector that was replaced: not to be followed.
+    if data["fence"] < state.fence:
+        # Ignores the answer of a collector that has been replaced.
         return False
-    book.fence = data["fence"]
-    book.cursor = data["cursor"]
+    state.fence = data["fence"]
+    state.cursor = data["cursor"]
     return True
 
 
-async def _fetch(plan: TrainerPlan, book: _Book, balancer: Balancer, path: str) -> bool:
-    book.fetches += 1
+async def _fetch(
+    plan: TrainerPlan, state: _StepState, balancer: Balancer, path: str
+) -> bool:
+    state.fetches += 1
     body = {
-        "fence": book.fence,
-        "cursor": book.cursor,
-        "version": book.version,
+        "fence": state.fence,
+        "cursor": state.cursor,
+        "version": state.version,
         "limit": 64,
         "wait_s": 2.0,
     }
@@ -194,64 +205,70 @@
     reply = await balancer.send(
         "POST", f"{path}/fetch", token=plan.token, body=json.dumps(body).encode()
     )
-    book.waited += time.monotonic() - began
+    state.fetch_seconds += time.monotonic() - began
     if reply.status == 409:
         return False
     if reply.status != 200:
         await asyncio.sleep(max(0.05, reply.retry_after))
         return True
     data = json.loads(reply.body)
-    if data["fence"] != book.fence:
+    if data["fence"] != state.fence:
         return True
     for sample in data["samples"]:
-        _take(plan, book, sample)
-    book.cursor = data["number"]
+        _accept_sample(plan, state, sample)
+    state.cursor = data["number"]
     return True
 
 
-def _take(plan: TrainerPlan, book: _Book, sample: dict) -> None:
+def _accept_sample(plan: TrainerPlan, state: _StepState, sample: dict) -> None:
     slot = (sample["group"], sample["index"])
-    if slot in book.received:
-        book.duplicated += 1
+    if slot in state.received:
+        state.duplicated += 1
         return
-    asked = book.expected[slot]
-    book.received[slot] = sample
-    book.emit(_kept(plan, book, sample, asked["max_tokens"]))
+    requested = state.expected[slot]
+    state.received[slot] = sample
+    state.emit(_make_event(plan, state, sample, requested["max_tokens"]))
     tokens = [token.split(":") for token in sample["text"].split()]
-    whole = [int(t[3]) for t in tokens] == list(range(asked["max_tokens"]))
-    own = all(t[2] == prompt_tag(asked["prompt"]) for t in tokens)
-    if not (whole and own):
-        book.wrong += 1
-    # The engine wrote into each token which version made it.
-    made = [int(t[0]) for t in tokens]
-    told = [v for v, first, last in sample["runs"] for _ in range(first, last + 1)]
-    if made != told:
-        book.mislabelled += 1
-    book.behind.append(book.version - min(made, default=book.version))
-    if made and min(made) < book.version - plan.staleness_bound:
-        book.stale += 1
-    if len(set(made)) > 1:
-        book.mixed += 1
+    is_complete = [int(t[3]) for t in tokens] == list(range(requested["max_tokens"]))
+    matches_prompt = all(t[2] == prompt_tag(requested["prompt"]) for t in tokens)
+    if not (is_complete and matches_prompt):
+        state.wrong += 1
+    # Each token's text contains the weight version that generated it.
+    token_versions = [int(t[0]) for t in tokens]
+    reported_versions = [
+        v for v, first, last in sample["runs"] for _ in range(first, last + 1)
+    ]
+    if token_versions != reported_versions:
+        state.mislabelled += 1
+    state.versions_behind.append(
+        state.version - min(token_versions, default=state.version)
+    )
+    if token_versions and min(token_versions) < state.version - plan.staleness_bound:
+        state.stale += 1
+    if len(set(token_versions)) > 1:
+        state.mixed += 1
 
 
-def _kept(plan: TrainerPlan, book: _Book, sample: dict, asked: int) -> SampleKept:
-    made = tuple(int(token.split(":")[0]) for token in sample["text"].split())
+def _make_event(
+    plan: TrainerPlan, state: _StepState, sample: dict, requested: int
+) -> SampleKept:
+    token_versions = tuple(int(token.split(":")[0]) for token in sample["text"].split())
     return SampleKept(
         plan.trainer,
         plan.step,
         (sample["group"], sample["index"]),
-        asked,
-        made,
+        requested,
+        token_versions,
         tuple(tuple(run) for run in sample["runs"]),
-        book.version,
+        state.version,
         plan.staleness_bound,
     )
 
 
 async def _publish(
-    plan: TrainerPlan, book: _Book, session: aiohttp.ClientSession
+    plan: TrainerPlan, state: _StepState, session: aiohttp.ClientSession
 ) -> None:
-    book.version += 1
+    state.version += 1
     url = f"{plan.weight_store}/v1/weights/{plan.model}"
-    async with session.post(url, json={"version": book.version}) as response:
+    async with session.post(url, json={"version": state.version}) as response:
         await response.read()
