--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -20,7 +20,7 @@
 
 #: Exit statuses: a broken promise; invalid seeds or settings; an error of the soak
 #: itself, which makes its verdict invalid.
-_BROKEN, _EXIT_USAGE, _EXIT_FAULT = 1, 2, 3
+_EXIT_VIOLATION, _EXIT_USAGE, _EXIT_FAULT = 1, 2, 3
 
 
 @click.command()
@@ -51,7 +51,7 @@
             f"again: make soak SEEDS={again} SECONDS={seconds} SERIES={series}",
             err=True,
         )
-        sys.exit(_BROKEN)
+        sys.exit(_EXIT_VIOLATION)
 
 
 def parse_seeds(text: str) -> list[int]:
@@ -76,8 +76,8 @@
         shutil.rmtree(folder)
         click.echo(f"seed {seed}: every promise kept", err=True)
     for finding in verdict.findings[:10]:
-        told = f"{finding.check} ({finding.row}): {finding.detail}"
-        click.echo(f"seed {seed}: BROKEN {told}", err=True)
+        description = f"{finding.check} ({finding.row}): {finding.detail}"
+        click.echo(f"seed {seed}: BROKEN {description}", err=True)
     return verdict
 
 
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -73,23 +73,23 @@
     find: Callable[[Observations], Iterator[str]]
 
 
-def judge(seen: Observations) -> list[Finding]:
+def judge(observations: Observations) -> list[Finding]:
     """
     Run all checks and return their findings.
     """
     return [
         Finding(check.name, check.row, detail)
         for check in CHECKS
-        for detail in check.find(seen)
+        for detail in check.find(observations)
     ]
 
 
-def _runs(seen: Observations) -> list[EngineLine]:
-    return [line for line in list(seen.engine_lines) if line.what == "run"]
+def _runs(observations: Observations) -> list[EngineLine]:
+    return [line for line in list(observations.engine_lines) if line.what == "run"]
 
 
-def _whole_answers(seen: Observations) -> Iterator[str]:
-    for request in list(seen.requests):
+def _whole_answers(observations: Observations) -> Iterator[str]:
+    for request in list(observations.requests):
         if request.status != 200:
             continue
         name = request.request_id
@@ -99,44 +99,44 @@
             )
 
 
-def _runs_once(seen: Observations) -> Iterator[str]:
-    booked = [run.id for run in _runs(seen) if run.target.startswith("/book/")]
+def _runs_once(observations: Observations) -> Iterator[str]:
+    booked = [run.id for run in _runs(observations) if run.target.startswith("/book/")]
     for name, runs in Counter(booked).items():
         if runs > 1:
             yield f"{name} ran {runs} times"
 
 
-def _never_runs(seen: Observations) -> Iterator[str]:
+def _never_runs(observations: Observations) -> Iterator[str]:
     refused = {
         request.request_id: request.status
-        for request in list(seen.requests)
+        for request in list(observations.requests)
         if request.status in NOT_RUN
     }
     jobs = {
         submitted.job: submitted.statuses
-        for submitted in list(seen.submissions)
+        for submitted in list(observations.submissions)
         if NOT_RUN.issuperset(submitted.statuses)
     }
-    told = refused | jobs
-    for run in _runs(seen):
-        if job_of(run.id) in told:
-            yield f"{run.id} ran at {run.engine}, answered {told[job_of(run.id)]}"
+    refusals = refused | jobs
+    for run in _runs(observations):
+        if job_of(run.id) in refusals:
+            yield f"{run.id} ran at {run.engine}, answered {refusals[job_of(run.id)]}"
 
 
-def _accepted_stays(seen: Observations) -> Iterator[str]:
-    accepted = {s.job: s.at for s in list(seen.submissions) if s.accepted}
-    for read in list(seen.reads):
+def _accepted_stays(observations: Observations) -> Iterator[str]:
+    accepted = {s.job: s.at for s in list(observations.submissions) if s.accepted}
+    for read in list(observations.reads):
         began = accepted.get(read.job, float("inf"))
         if read.status in (404, 410) and read.began > began + _VISIBILITY_SLACK:
             yield f"{read.job}: {read.status} at {read.edge}"
-    yield from list(seen.unrecovered)
+    yield from list(observations.unrecovered)
 
 
-def _positions(seen: Observations) -> Iterator[str]:
-    items = {s.job: s.items for s in list(seen.submissions)}
+def _positions(observations: Observations) -> Iterator[str]:
+    items = {s.job: s.items for s in list(observations.submissions)}
     listed: dict[tuple[str, int], dict] = {}
     places: dict[tuple[str, str], int] = {}
-    for read in _answered(seen):
+    for read in _answered(observations):
         if read.total != items.get(read.job, read.total):
             yield f"{read.job}: total {read.total} at {read.edge}"
         for place, result in enumerate(read.results, read.since):
@@ -150,12 +150,12 @@
                 yield f"{read.job}: lists {result['id']}"
 
 
-def _positions_stay(seen: Observations) -> Iterator[str]:
+def _positions_stay(observations: Observations) -> Iterator[str]:
     known: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    for read in _answered(seen):
+    for read in _answered(observations):
         if read.results:
             known[read.job].append((read.at, read.since + len(read.results)))
-    for read in _answered(seen):
+    for read in _answered(observations):
         settled = [
             n for at, n in known[read.job] if at < read.began - _VISIBILITY_SLACK
         ]
@@ -163,21 +163,21 @@
             yield f"{read.job}: nothing from {read.since} on at {read.edge}"
 
 
-def _answered(seen: Observations) -> list[JobRead]:
-    return [read for read in list(seen.reads) if read.status == 200]
+def _answered(observations: Observations) -> list[JobRead]:
+    return [read for read in list(observations.reads) if read.status == 200]
 
 
-def _listed(seen: Observations) -> dict[tuple[str, str], dict]:
+def _listed(observations: Observations) -> dict[tuple[str, str], dict]:
     return {
         (read.job, result["id"]): result
-        for read in _answered(seen)
+        for read in _answered(observations)
         for result in read.results
     }
 
 
-def _texts(seen: Observations) -> Iterator[str]:
-    ended = {end.job: end.began for end in list(seen.ended)}
-    for (job, item), result in _listed(seen).items():
+def _texts(observations: Observations) -> Iterator[str]:
+    ended = {end.job: end.began for end in list(observations.ended)}
+    for (job, item), result in _listed(observations).items():
         whole = "\n".join(f"{item}-{number}" for number in range(1, EVENTS + 1))
         if result["state"] != "completed":
             if job not in ended:
@@ -186,88 +186,90 @@
             yield f"{item}: the text is {result['message']!r}"
 
 
-def _versions(seen: Observations) -> Iterator[str]:
-    oldest = {s.job: s.min_version for s in list(seen.submissions)}
-    made: dict[str, dict[int, set[int]]] = defaultdict(lambda: defaultdict(set))
-    for line in list(seen.engine_lines):
+def _versions(observations: Observations) -> Iterator[str]:
+    oldest = {s.job: s.min_version for s in list(observations.submissions)}
+    generated: dict[str, dict[int, set[int]]] = defaultdict(lambda: defaultdict(set))
+    for line in list(observations.engine_lines):
         if line.what == "event":
-            made[line.id][line.number].add(line.version)
-    for (job, item), result in _listed(seen).items():
+            generated[line.id][line.number].add(line.version)
+    for (job, item), result in _listed(observations).items():
         if result["state"] != "completed":
             continue
-        told = set(result["versions"])
-        if not told or min(told) < oldest.get(job, 0):
-            yield f"{item}: versions {sorted(told)}, {oldest.get(job)} is the oldest"
-        untrue = told - set().union(*made[item].values())
-        unnamed = [n for n in range(1, EVENTS + 1) if not made[item][n] & told]
-        if untrue or unnamed:
-            yield f"{item}: versions {sorted(told)}, made were {dict(made[item])}"
+        named = set(result["versions"])
+        if not named or min(named) < oldest.get(job, 0):
+            yield f"{item}: versions {sorted(named)}, {oldest.get(job)} is the oldest"
+        incorrect = named - set().union(*generated[item].values())
+        unreported = [n for n in range(1, EVENTS + 1) if not generated[item][n] & named]
+        if incorrect or unreported:
+            yield f"{item}: versions {sorted(named)}, made were {dict(generated[item])}"
 
 
-def _scores(seen: Observations) -> Iterator[str]:
+def _scores(observations: Observations) -> Iterator[str]:
     whole_at: dict[str, float] = {}
-    for line in list(seen.engine_lines):
+    for line in list(observations.engine_lines):
         if line.what == "event" and line.number == EVENTS:
             whole_at.setdefault(line.id, line.at)
-    for (_, item), result in _listed(seen).items():
+    for (_, item), result in _listed(observations).items():
         score = item.replace(".i", ".s")
         if result["state"] == "completed" and result["score"] != f"seal-{score}":
             yield f"{item}: the score is {result['score']!r}"
-    for run in _runs(seen):
+    for run in _runs(observations):
         job, _, rest = run.id.partition(".s")
         if rest and run.at < whole_at.get(f"{job}.i{rest}", float("inf")):
             yield f"{run.id} came before the text's last event was made"
 
 
-def _nothing_after_the_end(seen: Observations) -> Iterator[str]:
-    ended = {end.job: end.at for end in list(seen.ended)}
-    for run in _runs(seen):
+def _nothing_after_the_end(observations: Observations) -> Iterator[str]:
+    ended = {end.job: end.at for end in list(observations.ended)}
+    for run in _runs(observations):
         late = run.at - ended.get(job_of(run.id), float("inf"))
         if late > _CANCEL_LIMIT:
             yield f"{run.id} reached {run.engine} {late:.2f} s after its job's end"
 
 
-def _fences(seen: Observations) -> Iterator[str]:
+def _fences(observations: Observations) -> Iterator[str]:
     highest: dict[tuple[str, int], int] = {}
     holders: dict[int, str] = {}
     successors: list[EngineLine] = []
-    orders = [line for line in list(seen.engine_lines) if line.what == "order"]
+    orders = [line for line in list(observations.engine_lines) if line.what == "order"]
     for order in sorted(orders, key=lambda line: line.at):
         process = (order.engine, order.born)
         first = holders.setdefault(order.fence, order.holder)
         if first != order.holder:
             yield f"fence {order.fence} is that of {first} and of {order.holder}"
-        if order.fence < highest.get(process, -1) and not _just_resumed(seen, order):
-            seen_before = f"{order.engine} had seen {highest[process]}"
-            yield f"fence {order.fence} of {order.holder}, {seen_before}"
-        over = [
+        if order.fence < highest.get(process, -1) and not _just_resumed(
+            observations, order
+        ):
+            highest_seen = f"{order.engine} had seen {highest[process]}"
+            yield f"fence {order.fence} of {order.holder}, {highest_seen}"
+        newer = [
             later
             for later in successors
             if later.fence > order.fence and later.at < order.at - _LEASE_TERM
         ]
-        if over and not _just_resumed(seen, order):
-            yield f"{order.holder} orders long after {over[0].holder} has begun to"
+        if newer and not _just_resumed(observations, order):
+            yield f"{order.holder} orders long after {newer[0].holder} has begun to"
         successors.append(order)
         highest[process] = max(highest.get(process, -1), order.fence)
 
 
-def _just_resumed(seen: Observations, order: EngineLine) -> bool:
+def _just_resumed(observations: Observations, order: EngineLine) -> bool:
     return any(
         edge == order.holder and at <= order.at <= at + _PAUSE_SLACK
-        for edge, at in list(seen.resumes)
+        for edge, at in list(observations.resumes)
     )
 
 
-def _planned_stops(seen: Observations) -> Iterator[str]:
-    for stop in list(seen.stops):
+def _planned_stops(observations: Observations) -> Iterator[str]:
+    for stop in list(observations.stops):
         if stop.status != 0 or stop.elapsed > _GRACE + _EXIT_DELAY:
             yield f"{stop.edge}: status {stop.status} after {stop.elapsed:.1f} s"
 
 
-def _stops_cut_nothing(seen: Observations) -> Iterator[str]:
-    begun = {run.id for run in _runs(seen)}
-    cut = [request for request in list(seen.requests) if not request.status]
-    for stop in list(seen.stops):
+def _stops_cut_nothing(observations: Observations) -> Iterator[str]:
+    begun = {run.id for run in _runs(observations)}
+    cut = [request for request in list(observations.requests) if not request.status]
+    for stop in list(observations.stops):
         # A slow planned stop may drop requests that arrived shortly before its end.
         if stop.paused or stop.elapsed > _GRACE * 5 / 6:
             continue
@@ -287,17 +289,17 @@
     """
     Describe a request without an answer, with its times relative to the stop's end.
     """
-    sent, gone = request.began - stop.at, request.at - stop.at
+    sent, closed = request.began - stop.at, request.at - stop.at
     return (
         f"{request.request_id} got no answer from {request.edge}: sent {sent:.3f} s and"
-        f" gone {gone:.3f} s from the end of a stop of {stop.elapsed:.3f} s,"
+        f" gone {closed:.3f} s from the end of a stop of {stop.elapsed:.3f} s,"
         f" {'begun' if begun else 'not begun'}"
     )
 
 
-def _configuration(seen: Observations) -> Iterator[str]:
+def _configuration(observations: Observations) -> Iterator[str]:
     served: dict[tuple[str, int, str], float] = {}
-    routes = [a for a in list(seen.requests) if a.target.startswith("/r")]
+    routes = [a for a in list(observations.requests) if a.target.startswith("/r")]
     for request in sorted(routes, key=lambda one: one.at):
         key = (request.edge, request.start_number, request.target)
         if request.status == 200:
@@ -308,10 +310,10 @@
             yield f"{request.target} was served at {request.edge}, and then 404"
 
 
-def _workspaces(seen: Observations) -> Iterator[str]:
-    expected = {a.request_id: workspace_of(a.key) for a in list(seen.requests)}
-    jobs = {submitted.job for submitted in list(seen.submissions)}
-    for run in _runs(seen):
+def _workspaces(observations: Observations) -> Iterator[str]:
+    expected = {a.request_id: workspace_of(a.key) for a in list(observations.requests)}
+    jobs = {submitted.job for submitted in list(observations.submissions)}
+    for run in _runs(observations):
         if run.key is not None:
             yield f"{run.id} at {run.engine} showed the key {run.key!r}"
         if job_of(run.id) in jobs:
@@ -322,28 +324,28 @@
             yield f"{run.id} ran at {run.engine} for {run.tenant!r}, not {owner!r}"
 
 
-def _keys(seen: Observations) -> Iterator[str]:
+def _keys(observations: Observations) -> Iterator[str]:
     served: set[tuple[str, int, str]] = set()
-    gone: dict[tuple[str, int, str], float] = {}
-    for request in sorted(list(seen.requests), key=lambda one: one.at):
+    removed: dict[tuple[str, int, str], float] = {}
+    for request in sorted(list(observations.requests), key=lambda one: one.at):
         place = (request.edge, request.start_number, request.key)
-        told = f"{request.request_id}, {request.key!r} at {request.edge}"
+        description = f"{request.request_id}, {request.key!r} at {request.edge}"
         if request.status == 401 and is_permanent_key(request.key):
-            yield f"{told}: 401, and the key is always there"
+            yield f"{description}: 401, and the key is always there"
         if request.status == 200 and not workspace_of(request.key):
-            yield f"{told}: served, and the key never was there"
+            yield f"{description}: served, and the key never was there"
         if request.status == 401 and place in served:
-            gone.setdefault(place, request.at)
+            removed.setdefault(place, request.at)
         if request.status == 200:
             served.add(place)
-            if request.began > gone.get(place, float("inf")) + _ROLLBACK_SLACK:
-                yield f"{told}: served, and the key had been taken away there"
+            if request.began > removed.get(place, float("inf")) + _ROLLBACK_SLACK:
+                yield f"{description}: served, and the key had been taken away there"
 
 
-def _usage(seen: Observations) -> Iterator[str]:
+def _usage(observations: Observations) -> Iterator[str]:
     counts: dict[int, UsageReport] = {}
     holders: dict[int, str] = {}
-    for report in list(seen.reports):
+    for report in list(observations.reports):
         first = counts.setdefault(report.window, report)
         if first.counts != report.counts:
             yield f"window {report.window}: {first.counts}, then {report.counts}"
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -81,7 +81,7 @@
 
     bed: PlatformBed
     load: Load
-    seen: Observations
+    observations: Observations
     counts: Counter[str] = field(default_factory=Counter)
     ends: list[tuple[float, Fault]] = field(default_factory=list)
     broken: list[BaseException] = field(default_factory=list)
@@ -145,7 +145,7 @@
         """
         version = self.load.routes + 1
         self.bed.configure(config_with_routes(version))
-        self.seen.configurations.append(ConfigChange(version, time.monotonic()))
+        self.observations.configurations.append(ConfigChange(version, time.monotonic()))
         self.load.routes = version
 
     def _crash(self, fault: Fault) -> None:
@@ -163,7 +163,7 @@
     def _inject_edge_fault(self, fault: Fault) -> None:
         edge = fault.target
         if not self.bed.is_running(edge):
-            self.seen.unrecovered.append(f"{edge} ended by itself")
+            self.observations.unrecovered.append(f"{edge} ended by itself")
         if fault.kind in _PAUSE_KINDS:
             self.bed.signal(edge, signal.SIGSTOP)
             time.sleep(fault.duration)
@@ -190,7 +190,7 @@
         try:
             until(lambda: self.bed.ready(edge), READY_LIMIT)
         except AssertionError:
-            self.seen.unrecovered.append(
+            self.observations.unrecovered.append(
                 f"{edge} was not ready {READY_LIMIT:g} s after"
             )
 
@@ -201,7 +201,11 @@
         Versions are announced during the pause and after it, so that the new lease
         holder gives orders, and the old one would too if it ignored the lease's expiry.
         """
-        orders = [line for line in list(self.seen.engine_lines) if line.what == "order"]
+        orders = [
+            line
+            for line in list(self.observations.engine_lines)
+            if line.what == "order"
+        ]
         edge = max(orders, key=lambda line: line.at).holder if orders else EDGES[0]
         with self.edge_locks[edge]:
             self.bed.signal(edge, signal.SIGSTOP)
@@ -219,7 +223,7 @@
             self.load.version += 1
 
     def _resume(self, edge: str) -> None:
-        self.seen.resumes.append((edge, time.monotonic()))
+        self.observations.resumes.append((edge, time.monotonic()))
         self.bed.signal(edge, signal.SIGCONT)
 
     def _stop(self, edge: str, paused: bool, second_signal_after: float | None) -> None:
@@ -243,7 +247,7 @@
             self.bed.signal(edge, signal.SIGKILL)
             self.bed.wait_end(edge)
         now, start_number = time.monotonic(), self.load.start_counts[edge]
-        self.seen.stops.append(
+        self.observations.stops.append(
             PlannedStop(edge, start_number, now, status, now - began, paused)
         )
 
--- a/tests/soak/load.py
+++ b/tests/soak/load.py
@@ -58,7 +58,7 @@
     """
 
     bed: PlatformBed
-    seen: Observations
+    observations: Observations
     start_counts: dict[str, int] = field(
         default_factory=lambda: dict.fromkeys(EDGES, 1)
     )
@@ -84,7 +84,7 @@
             )
             key = draw_key(draw, self.routes)
             record = self._send(connection, edge, f"{name}-{number}", target, key)
-            self.seen.requests.append(record)
+            self.observations.requests.append(record)
             if not record.status:
                 connection.close()
                 connection = None
@@ -156,15 +156,15 @@
         )
         if submitted.accepted:
             self.open_jobs[job] = _ITEMS
-        self.seen.submissions.append(submitted)
+        self.observations.submissions.append(submitted)
         return submitted.accepted
 
     def _read_results(self, job: str, draw: random.Random) -> None:
-        until = time.monotonic() + draw.uniform(_SHORTEST_WAIT, _LONGEST_WAIT)
-        have = 0
-        while time.monotonic() < until and have < _ITEMS:
-            read = self.read(job, draw.choice((0, have)), draw)
-            have = max(have, read.since + len(read.results))
+        deadline = time.monotonic() + draw.uniform(_SHORTEST_WAIT, _LONGEST_WAIT)
+        received = 0
+        while time.monotonic() < deadline and received < _ITEMS:
+            read = self.read(job, draw.choice((0, received)), draw)
+            received = max(received, read.since + len(read.results))
             time.sleep(0.1)
 
     def read(
@@ -186,7 +186,7 @@
             table = json.loads(body)
             results = tuple(table["results"])
             read = JobRead(job, edge, began, now, 200, since, table["total"], results)
-        self.seen.reads.append(read)
+        self.observations.reads.append(read)
         return read
 
     def end(self, job: str, draw: random.Random) -> None:
@@ -198,7 +198,7 @@
         while not self.over.is_set():
             status, _ = self._job_call("DELETE", f"/v1/lots/{job}", draw.choice(EDGES))
             if status == 200:
-                self.seen.ended.append(JobEnd(job, began, time.monotonic()))
+                self.observations.ended.append(JobEnd(job, began, time.monotonic()))
                 return
             time.sleep(0.1)
 
@@ -212,7 +212,7 @@
         """
         Start one thread for each caller and trainer; they end once ``over`` is set.
         """
-        works: list[tuple[Callable, str]] = [
+        targets: list[tuple[Callable, str]] = [
             *((self.call, f"q{index}") for index in range(callers)),
             *((self.train, f"job{index}") for index in range(trainers)),
         ]
@@ -220,7 +220,7 @@
             threading.Thread(
                 target=work, args=(name, random.Random(f"{seed} {name}")), name=name
             )
-            for work, name in works
+            for work, name in targets
         ]
         for thread in threads:
             thread.start()
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -98,22 +98,22 @@
 )
 
 
-def main(seeds: str = _SEEDS, word: str = "") -> int:
+def main(seeds: str = _SEEDS, name_part: str = "") -> int:
     """
     Run the mutants and print a row for each mutant and seed.
 
-    :param word: Selects the mutants whose name contains it.
+    :param name_part: Selects the mutants whose name contains it.
 
     :returns: 0 if every mutant was caught.
     """
-    good = True
+    all_caught = True
     for mutant in MUTANTS:
-        if word not in mutant.name:
+        if name_part not in mutant.name:
             continue
         caught = [seed for seed in seeds.split(",") if _is_caught(mutant, seed)]
-        good = good and bool(caught)
+        all_caught = all_caught and bool(caught)
         print(f"{mutant.name:<40} {','.join(caught) or 'NOT CAUGHT'}", flush=True)
-    return 0 if good else 1
+    return 0 if all_caught else 1
 
 
 def _is_caught(mutant: Mutant, seed: str) -> bool:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -80,7 +80,7 @@
     began = time.monotonic()
     folder.mkdir(parents=True)
     plan = SoakPlan.from_seed(seed, settings)
-    seen = Observations()
+    observations = Observations()
     with PlatformBed.open(
         folder,
         edges=len(EDGES),
@@ -90,49 +90,50 @@
     ) as bed:
         for engine in POOL:
             bed.fake_engine(engine, pace=EVENT_INTERVAL)
-        load = Load(bed, seen)
-        injector = Injector(bed, load, seen)
-        journals = _JournalReader(bed, seen)
+        load = Load(bed, observations)
+        injector = Injector(bed, load, observations)
+        journals = _JournalReader(bed, observations)
         callers = load.start(seed, _CALLERS, _TRAINERS)
         series = injector.start(plan)
         try:
             while any(thread.is_alive() for thread in series):
                 time.sleep(_CHECK_INTERVAL)
                 journals.follow()
-                _collect_reports(bed, seen)
-                broken = len(judge(seen))
+                _collect_reports(bed, observations)
+                broken = len(judge(observations))
                 progress(
                     f"seed {seed}: {time.monotonic() - injector.began:.0f} s,"
-                    f" {injector.counts.total()} faults, {len(seen.requests)} requests,"
+                    f" {injector.counts.total()} faults,"
+                    f" {len(observations.requests)} requests,"
                     f" {broken} broken"
                 )
             load.closing.set()
-            _wait_for_recovery(load, seen)
+            _wait_for_recovery(load, observations)
         finally:
             load.closing.set()
             load.over.set()
             for thread in (*series, *callers):
                 thread.join()
-        _read_all_jobs(load, seen)
+        _read_all_jobs(load, observations)
         journals.follow()
-        _collect_reports(bed, seen)
+        _collect_reports(bed, observations)
     if injector.broken:
         raise SoakBrokenError(f"seed {seed}: {injector.broken[0]!r}")
-    findings = tuple(dict.fromkeys(judge(seen)))
-    served = [a for a in seen.requests if a.status == 200]
-    worst, worst_after = _worst_recovery(injector.ends, seen)
+    findings = tuple(dict.fromkeys(judge(observations)))
+    served = [a for a in observations.requests if a.status == 200]
+    worst, worst_after = _worst_recovery(injector.ends, observations)
     samples = {
         (read.job, result["id"])
-        for read in seen.reads
+        for read in observations.reads
         for result in read.results
         if result["state"] == "completed"
     }
     return Verdict(
         seed=seed,
         faults=dict(sorted(injector.counts.items())),
-        requests=len(seen.requests),
+        requests=len(observations.requests),
         served=len(served),
-        jobs=sum(submitted.accepted for submitted in seen.submissions),
+        jobs=sum(submitted.accepted for submitted in observations.submissions),
         samples=len(samples),
         worst_recovery=worst,
         worst_after=worst_after,
@@ -146,10 +147,10 @@
     Reads new lines of the engines' journals.
     """
 
-    def __init__(self, bed: PlatformBed, seen: Observations) -> None:
+    def __init__(self, bed: PlatformBed, observations: Observations) -> None:
         self._paths = {name: bed.journal(name) for name in (*POOL, *DESKS)}
         self._read_to = dict.fromkeys(self._paths, 0)
-        self._seen = seen
+        self._seen = observations
 
     def follow(self) -> None:
         for name, path in self._paths.items():
@@ -165,12 +166,12 @@
                 self._seen.engine_lines.append(EngineLine(**json.loads(line)))
 
 
-def _collect_reports(bed: PlatformBed, seen: Observations) -> None:
+def _collect_reports(bed: PlatformBed, observations: Observations) -> None:
     """
     Add the usage reports that the platform received since the last call.
     """
-    for call in bed.fake_duties()["calls"][len(seen.reports) :]:
-        seen.reports.append(
+    for call in bed.fake_duties()["calls"][len(observations.reports) :]:
+        observations.reports.append(
             UsageReport(
                 call["window_no"],
                 tuple(sorted(call["counts"].items())),
@@ -181,7 +182,7 @@
         )
 
 
-def _wait_for_recovery(load: Load, seen: Observations) -> None:
+def _wait_for_recovery(load: Load, observations: Observations) -> None:
     """
     Wait until each edge serves the newest configuration and open jobs are complete.
     """
@@ -192,7 +193,7 @@
         if not left:
             return
         time.sleep(0.2)
-    seen.unrecovered.extend(
+    observations.unrecovered.extend(
         f"{what} after {_RECOVERY_LIMIT:g} s" for what in sorted(left)
     )
 
@@ -209,8 +210,8 @@
         answer = load.bed.ask("POST", f"/r{load.routes}/", b"x", "last", edge, **key)
         if answer.status != 200:
             left.add(f"{edge} answers {answer.status} on the newest route")
-    _collect_reports(load.bed, load.seen)
-    if not any(report.at > since for report in load.seen.reports):
+    _collect_reports(load.bed, load.observations)
+    if not any(report.at > since for report in load.observations.reports):
         left.add("no usage is reported")
     draw = random.Random(0)
     for job, items in list(load.open_jobs.items()):
@@ -220,21 +221,21 @@
     return left
 
 
-def _read_all_jobs(load: Load, seen: Observations) -> None:
+def _read_all_jobs(load: Load, observations: Observations) -> None:
     draw = random.Random(0)
-    for submitted in list(seen.submissions):
+    for submitted in list(observations.submissions):
         for edge in EDGES:
             if submitted.accepted:
                 load.read(submitted.job, 0, draw, edge)
 
 
 def _worst_recovery(
-    ends: list[tuple[float, Fault]], seen: Observations
+    ends: list[tuple[float, Fault]], observations: Observations
 ) -> tuple[float, str]:
     """
     Return the longest time from a fault's end to the next success, and a description.
     """
-    served = sorted(a.at for a in seen.requests if a.status == 200)
+    served = sorted(a.at for a in observations.requests if a.status == 200)
     waits = [
         (next(at for at in served if at >= end) - end, end, fault)
         for end, fault in ends
@@ -243,10 +244,10 @@
     if not waits:
         return 0.0, ""
     wait, end, fault = max(waits, key=lambda one: one[0])
-    got = Counter(
+    statuses = Counter(
         f"{request.edge} {request.status}"
-        for request in seen.requests
+        for request in observations.requests
         if end <= request.at < end + wait
     )
-    told = ", ".join(f"{count} x {what}" for what, count in sorted(got.items()))
-    return round(wait, 2), f"{fault.kind} of {fault.target}: {told or 'nothing'}"
+    answers = ", ".join(f"{count} x {what}" for what, count in sorted(statuses.items()))
+    return round(wait, 2), f"{fault.kind} of {fault.target}: {answers or 'nothing'}"
--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -108,7 +108,7 @@
         make_line("event", id="job.i0", number=n, version=2)
         for n in range(1, EVENTS + 1)
     ]
-    seen = Observations(
+    observations = Observations(
         submissions=[JobSubmission(_JOB, 1, 2, (202,), 4.0)],
         reads=[make_read()],
         engine_lines=[
@@ -117,6 +117,6 @@
             make_line(id="job.s0", target="/look/score", at=6.0),
         ],
     )
-    for name, more in added.items():
-        getattr(seen, name).extend(more)
-    return seen
+    for name, records in added.items():
+        getattr(observations, name).extend(records)
+    return observations
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -100,7 +100,7 @@
 
 
 #: The check that must find a violation, and the records that cause it.
-_BROKEN = [
+_VIOLATIONS = [
     ("whole_answers", {"requests": [make_request(body="answer to other")]}),
     ("whole_answers", {"requests": [make_request(mark="")]}),
     ("runs_once", {"engine_lines": [make_line(target="/book/x")] * 2}),
@@ -252,7 +252,7 @@
     assert judge(make_observations(requests=caller_requests, reports=reports)) == []
 
 
-@pytest.mark.parametrize(("check", "added"), _BROKEN)
+@pytest.mark.parametrize(("check", "added"), _VIOLATIONS)
 def test_a_violation_is_found(check, added):
     """
     The expected check reports each violation.
@@ -264,7 +264,7 @@
     """
     docs/PROMISES.md names each check in the row that the check watches.
     """
-    assert {name for name, _ in _BROKEN} == {check.name for check in CHECKS}
+    assert {name for name, _ in _VIOLATIONS} == {check.name for check in CHECKS}
     text = (_ROOT / "docs" / "PROMISES.md").read_text()
     for check in CHECKS:
         assert re.search(rf"^\| {re.escape(check.row)}", text, re.M)
