--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -16,7 +16,7 @@
 from platform_bed import PlatformBed, until
 from platform_documents import MODEL, make_config
 
-from .keys import tenants_of
+from .keys import make_workspaces
 from .load import Load
 from .observed import ConfigChange, Observations, PlannedStop
 from .plan import DESKS, EDGES, HOLDER, OPERATOR, POOL, STORE, Fault, Kind, SoakPlan
@@ -256,7 +256,7 @@
     """
     Return a configuration with the routes ``/r1/`` to ``/rN/``, N being its version.
     """
-    config = make_config(version, tenants=tenants_of(version))
+    config = make_config(version, tenants=make_workspaces(version))
     look_up = config["routes"][0]
     config["routes"] += [
         {**look_up, "name": f"r{number}", "path_prefix": f"/r{number}/"}
--- a/tests/soak/keys.py
+++ b/tests/soak/keys.py
@@ -9,10 +9,16 @@
 import random
 
 
-__all__ = ["TENANTS", "draw_key", "is_permanent_key", "tenants_of", "workspace_of"]
+__all__ = [
+    "WORKSPACES",
+    "draw_key",
+    "is_permanent_key",
+    "make_workspaces",
+    "workspace_of",
+]
 
 #: Names of the workspaces.
-TENANTS = ("red", "blue")
+WORKSPACES = ("red", "blue")
 #: Configuration versions for which a rotated key is valid.
 _KEY_VERSIONS = 3
 #: Share of requests with a key that no configuration contains.
@@ -20,7 +26,7 @@
 _UNKNOWN_KEY = "nobody-0"
 
 
-def tenants_of(version: int) -> list[dict]:
+def make_workspaces(version: int) -> list[dict]:
     """
     Return the workspaces of a configuration, each with a permanent key and the newest
     rotated keys.
@@ -28,7 +34,7 @@
     newest = range(max(1, version - _KEY_VERSIONS + 1), version + 1)
     return [
         {"name": name, "api_keys": [f"{name}-0", *(f"{name}-{n}" for n in newest)]}
-        for name in TENANTS
+        for name in WORKSPACES
     ]
 
 
@@ -39,7 +45,7 @@
     if draw.random() < _UNKNOWN_KEY_SHARE:
         return _UNKNOWN_KEY
     number = draw.choice((0, 0, 0, draw.randint(1, max(1, version))))
-    return f"{draw.choice(TENANTS)}-{number}"
+    return f"{draw.choice(WORKSPACES)}-{number}"
 
 
 def workspace_of(key: str) -> str:
@@ -47,7 +53,7 @@
     Return the workspace that owns or owned a key; empty for an unknown key.
     """
     name = key.partition("-")[0]
-    return name if name in TENANTS else ""
+    return name if name in WORKSPACES else ""
 
 
 def is_permanent_key(key: str) -> bool:
