--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-``python -m soak``: a line of JSON for each seed, progress beside it.
+``python -m soak``: runs seeds and prints a line of JSON for each.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from .run import SoakBrokenError, Verdict, run_seed
 
 
-#: Exit statuses: a broken promise; seeds or settings that cannot be used; a fault of
-#: the soak itself, after which its verdict says nothing.
-_BROKEN, _EXIT_USAGE, _EXIT_FAULT = 1, 2, 3
+#: Exit statuses: a broken promise; invalid seeds or settings; an error of the soak
+#: itself, which makes its verdict invalid.
+_EXIT_VIOLATION, _EXIT_USAGE, _EXIT_FAULT = 1, 2, 3
 
 
 @click.command()
@@ -51,14 +51,14 @@
             f"again: make soak SEEDS={again} SECONDS={seconds} SERIES={series}",
             err=True,
         )
-        sys.exit(_BROKEN)
+        sys.exit(_EXIT_VIOLATION)
 
 
 def parse_seeds(text: str) -> list[int]:
     """
-    Return the seeds.
+    Parse the list of seeds.
 
-    :raises UnusableSoakError: If there is none, or one is no whole number.
+    :raises UnusableSoakError: If it is empty, or a seed is not an integer.
     """
     words = text.split(",")
     if not all(word.strip().isascii() and word.strip().isdigit() for word in words):
@@ -76,8 +76,8 @@
         shutil.rmtree(folder)
         click.echo(f"seed {seed}: every promise kept", err=True)
     for finding in verdict.findings[:10]:
-        told = f"{finding.check} ({finding.row}): {finding.detail}"
-        click.echo(f"seed {seed}: BROKEN {told}", err=True)
+        description = f"{finding.check} ({finding.row}): {finding.detail}"
+        click.echo(f"seed {seed}: BROKEN {description}", err=True)
     return verdict
 
 
