--- a/packages/saddledoord/src/saddledoord/backends/__init__.py
+++ b/packages/saddledoord/src/saddledoord/backends/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Engines and services of the own deployment.
+Clients, dispatching and monitoring of the deployment's backend servers.
 """
--- a/packages/saddledoord/src/saddledoord/backends/budgets.py
+++ b/packages/saddledoord/src/saddledoord/backends/budgets.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The retry budgets of this VM, one per partner or trainer.
+Retry budgets of this VM, one per partner or trainer.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 class RetryBudgets:
     """
-    Makes a budget when a partner first needs one; whoever retries for it shares it.
+    Creates a partner's budget on first use; all of its retries share it.
     """
 
     def __init__(self, state: NodeState) -> None:
--- a/packages/saddledoord/src/saddledoord/backends/client.py
+++ b/packages/saddledoord/src/saddledoord/backends/client.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Adapters to back ends: engines' completions and orders, and calls to plain services.
+HTTP clients of backend servers: completions and orders of engines, service calls.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     "LoadReading",
 ]
 
-#: A back end that refused before it started says so with this header.
+#: Response header of a backend server that refused a request before starting it.
 NOT_STARTED_HEADER = "X-Not-Started"
 #: Longest line of an engine's event stream, in bytes.
-_MAX_EVENT = 1_000_000
-#: Longest wait for a connection, in seconds.
+_MAX_EVENT_BYTES = 1_000_000
+#: Timeout of opening a connection, in seconds.
 _CONNECT_TIMEOUT = 1.0
-#: Largest answer of a plain service, in bytes.
-_MAX_ANSWER = 8_000_000
+#: Largest response body of a service, in bytes.
+_MAX_RESPONSE_BYTES = 8_000_000
 
 
 class CompletionBrokenError(Exception):
@@ -49,7 +49,7 @@
 @dataclass(frozen=True)
 class CallAnswer:
     """
-    A plain service's whole answer.
+    A service's complete response.
     """
 
     status: int
@@ -60,7 +60,7 @@
 @dataclass(frozen=True)
 class LoadReading:
     """
-    What a back end says of itself.
+    Load and state that a backend server reports.
     """
 
     load: float
@@ -71,10 +71,10 @@
 
 class Backends:
     """
-    HTTP clients towards back ends.
+    HTTP clients of backend servers.
 
-    Unrepeatable calls use connections of their own, and a client that never sends
-    twice: by itself the library repeats some methods when a connection was closed.
+    Unrepeatable calls use a new connection each and a client with `send_once`, since
+    aiohttp retries idempotent methods when a reused connection was closed.
     """
 
     def __init__(
@@ -86,14 +86,14 @@
     @classmethod
     def open(cls) -> Backends:
         """
-        Open the clients; needs a running loop.
+        Open the clients; requires a running event loop.
         """
         pooled = aiohttp.TCPConnector(limit=0, keepalive_timeout=15)
         single = aiohttp.TCPConnector(limit=0, force_close=True)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_TIMEOUT)
         return cls(
             aiohttp.ClientSession(
-                connector=pooled, timeout=timeout, read_bufsize=_MAX_EVENT
+                connector=pooled, timeout=timeout, read_bufsize=_MAX_EVENT_BYTES
             ),
             aiohttp.ClientSession(
                 connector=single,
@@ -106,7 +106,7 @@
     @property
     def session(self) -> aiohttp.ClientSession:
         """
-        The pooled client, for other adapters of this process.
+        The client with pooled connections, for other requests of this process.
         """
         return self._session
 
@@ -116,9 +116,9 @@
 
     async def read_load(self, address: str, timeout: float) -> LoadReading:
         """
-        Ask a back end for its load and state.
+        Read a backend server's load and state.
 
-        :raises aiohttp.ClientError: If it gave no usable answer.
+        :raises aiohttp.ClientError: If the request failed or the response is invalid.
         """
         limit = aiohttp.ClientTimeout(total=timeout)
         url = f"http://{address}/v1/load"
@@ -137,10 +137,10 @@
 
     async def order(self, address: str, order: dict, timeout: float) -> int:
         """
-        Give an engine an order and wait until it says that it is done.
+        Send an order to an engine and wait for its completion.
 
-        :returns: The HTTP status; 409 means that the fencing number is old.
-        :raises aiohttp.ClientError: If the outcome is not known.
+        :returns: The HTTP status; 409 means that the fencing number is outdated.
+        :raises aiohttp.ClientError: If the outcome is unknown.
         """
         limit = aiohttp.ClientTimeout(total=timeout)
         url = f"http://{address}/v1/orders"
@@ -152,10 +152,10 @@
         self, address: str, request_id: str, body: dict, silence: float
     ) -> AsyncIterator[Part]:
         """
-        Stream a completion's parts, up to the end marker.
+        Stream a completion's parts up to the end marker.
 
         :param silence: Longest wait for the next part, in seconds.
-        :raises CompletionBrokenError: If the end marker did not come.
+        :raises CompletionBrokenError: If the stream ended without the end marker.
         """
         url = f"http://{address}/v1/completions"
         headers = {"X-Request-Id": request_id}
@@ -197,9 +197,9 @@
         timeout: float,
     ) -> CallAnswer | NotRun | OutcomeUnknown:
         """
-        Hand a request to a plain service and take its whole answer.
+        Send a request to a service and read its complete response.
 
-        :param target: Path and query.
+        :param target: Path and query of the URL.
         """
         session = self._single_use if unrepeatable else self._session
         headers = {"X-Request-Id": request_id, "Content-Type": content_type}
@@ -213,24 +213,24 @@
                 timeout=limit,
                 allow_redirects=False,
             ) as response:
-                return await _read_answer(response)
+                return await _read_response(response)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return NotRun(ResultCode.NO_BACKEND, f"not connected: {error}")
         except (TimeoutError, aiohttp.ClientError) as error:
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, repr(error))
 
 
-async def _read_answer(
+async def _read_response(
     response: aiohttp.ClientResponse,
 ) -> CallAnswer | NotRun | OutcomeUnknown:
     if response.status == 503 and NOT_STARTED_HEADER in response.headers:
         return NotRun(
             ResultCode.NO_BACKEND, "the service vouches that it did not start"
         )
-    body = await response.content.read(_MAX_ANSWER + 1)
-    while len(body) <= _MAX_ANSWER and not response.content.at_eof():
-        body += await response.content.read(_MAX_ANSWER + 1 - len(body))
-    if len(body) > _MAX_ANSWER:
+    body = await response.content.read(_MAX_RESPONSE_BYTES + 1)
+    while len(body) <= _MAX_RESPONSE_BYTES and not response.content.at_eof():
+        body += await response.content.read(_MAX_RESPONSE_BYTES + 1 - len(body))
+    if len(body) > _MAX_RESPONSE_BYTES:
         return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, "the answer is too large")
     content_type = response.headers.get("Content-Type", "application/octet-stream")
     return CallAnswer(response.status, content_type, body)
--- a/packages/saddledoord/src/saddledoord/backends/control.py
+++ b/packages/saddledoord/src/saddledoord/backends/control.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The data centre's control lease: its holder swaps the engines' weights in waves.
+Orders weight swaps of a data centre's engines while holding its control lease.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 _log = structlog.get_logger()
 
-#: How often the holder looks for work, in seconds.
-_TICK = 0.5
-#: How often an engine at its target is read again by the holder, in seconds; sooner if
-#: its watcher reports another version.
-_REREAD = 30.0
-#: Wait per rank before a VM tries to take a control lease, in seconds.
-_RANK_STEP = 0.5
-#: How often the accepted configuration is written to the log again, in seconds.
-_SNAPSHOT_EVERY = 600.0
+#: Interval of the control loop, in seconds.
+_POLL_INTERVAL = 0.5
+#: Interval of reading an engine that runs its target version, in seconds. A report of
+#: another version triggers an earlier read.
+_REREAD_INTERVAL = 30.0
+#: Delay per rank before a VM tries to claim a free control lease, in seconds.
+_CLAIM_DELAY_PER_RANK = 0.5
+#: Interval of writing a snapshot of the accepted configuration to the log, in seconds.
+_SNAPSHOT_INTERVAL = 600.0
 
 
 def control_lease(data_centre: str) -> str:
@@ -56,9 +56,13 @@
 
 
 @dataclass
-class _Known:
+class _EngineState:
     """
-    The holder's newest reading of an engine.
+    What the lease holder knows of an engine.
+
+    :param reading: The latest reading; None if there is none or it failed.
+    :param at: Time of the latest read attempt, in seconds of `boot_time`.
+    :param busy: Whether an order to the engine is in flight.
     """
 
     reading: LoadReading | None = None
@@ -68,7 +72,7 @@
 
 class Control:
     """
-    Runs on every VM; acts only on the one that holds the lease.
+    Control loop of every VM; only the lease holder sends orders.
     """
 
     def __init__(
@@ -84,56 +88,56 @@
         self._backends = backends
         self._log = log
         self._metrics = metrics
-        self._known: dict[str, _Known] = {}
-        self._announced: dict[str, int] = {}
+        self._engine_states: dict[str, _EngineState] = {}
+        self._announced_versions: dict[str, int] = {}
         self._fence = -1
         self._snapshot_at = boot_time()
-        self._free_since: float | None = None
+        self._lease_free_since: float | None = None
         self._orders: set[asyncio.Task] = set()
 
     async def run(self) -> None:
         """
-        Take the lease when it is free, and act while it is held.
+        Claim the lease when it is free, and send orders while it is held.
         """
         name = control_lease(self._state.data_centre)
         while True:
-            await asyncio.sleep(_TICK)
+            await asyncio.sleep(_POLL_INTERVAL)
             if self._state.stage != "serving":
                 continue
-            held = self._keeper.held(name) or await self._try_take(name)
-            if held is not None and held.may_act(boot_time()):
-                await self._act(held)
+            lease = self._keeper.held(name) or await self._try_claim(name)
+            if lease is not None and lease.may_act(boot_time()):
+                await self._control_engines(lease)
 
-    async def _try_take(self, name: str) -> HeldLease | None:
+    async def _try_claim(self, name: str) -> HeldLease | None:
         if not self._keeper.may_claim(name):
-            self._free_since = None
+            self._lease_free_since = None
             return None
         now = boot_time()
-        self._free_since = self._free_since or now
+        self._lease_free_since = self._lease_free_since or now
         order = rendezvous_order(name, self._state.live_vms())
         rank = order.index(self._state.settings.vm)
-        if now - self._free_since < rank * _RANK_STEP:
+        if now - self._lease_free_since < rank * _CLAIM_DELAY_PER_RANK:
             return None
         return await self._keeper.take(name)
 
-    async def _act(self, held: HeldLease) -> None:
-        if held.fence != self._fence:
-            # A new holder orders nothing before it has read the engines' true state.
-            self._fence = held.fence
-            self._known.clear()
+    async def _control_engines(self, lease: HeldLease) -> None:
+        if lease.fence != self._fence:
+            # A new holder reads the engines' state before it sends any order.
+            self._fence = lease.fence
+            self._engine_states.clear()
         await self._snapshot_when_due()
         await self._read_announcements()
         await self._read_engines()
         for pool in self._state.deployment.pools if self._state.deployment else ():
             for model in pool.models:
-                target = self._target(model.name, model.version)
+                target = self._target_version(model.name, model.version)
                 if target is not None:
-                    self._order_pool(held, pool, model.name, target)
+                    self._order_pool(lease, pool, model.name, target)
 
     async def _snapshot_when_due(self) -> None:
         fold = self._state.config_fold
         snapshot: ConfigSnapshot | None = fold.snapshot() if fold else None
-        if snapshot is None or boot_time() - self._snapshot_at < _SNAPSHOT_EVERY:
+        if snapshot is None or boot_time() - self._snapshot_at < _SNAPSHOT_INTERVAL:
             return
         try:
             await self._log.append(CONFIG_STREAM, [snapshot])
@@ -141,10 +145,10 @@
         except LogUnavailableError:
             pass
 
-    def _target(self, model: str, version: int | str) -> int | None:
+    def _target_version(self, model: str, version: int | str) -> int | None:
         if isinstance(version, int):
             return version
-        return self._announced.get(model)
+        return self._announced_versions.get(model)
 
     async def _read_announcements(self) -> None:
         url = self._state.settings.weight_store
@@ -157,9 +161,9 @@
             ) as response:
                 data = await response.json()
             for model, version in data["models"].items():
-                # Absolute and never downwards: an answer may be an old one.
-                known = self._announced.get(model, -1)
-                self._announced[model] = max(known, int(version))
+                # Never decreases: the response may be stale.
+                previous = self._announced_versions.get(model, -1)
+                self._announced_versions[model] = max(previous, int(version))
         except (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError):
             return
 
@@ -169,69 +173,76 @@
             for pool in (self._state.deployment.pools if self._state.deployment else ())
             for engine in pool.engines
             if engine.data_centre == self._state.data_centre
-            if self._is_due(pool, engine)
+            if self._is_read_due(pool, engine)
         ]
         await asyncio.gather(*(self._read_engine(engine) for engine in due))
 
-    def _is_due(self, pool: Pool, engine: Engine) -> bool:
-        known = self._known.setdefault(engine.name, _Known())
-        if known.busy:
+    def _is_read_due(self, pool: Pool, engine: Engine) -> bool:
+        engine_state = self._engine_states.setdefault(engine.name, _EngineState())
+        if engine_state.busy:
             return False
-        if known.reading is None:
-            return boot_time() - known.at > 1.0
+        if engine_state.reading is None:
+            return boot_time() - engine_state.at > 1.0
         report = self._state.members.reports().get(engine.name)
         if (
             report
-            and report.at > known.at
-            and report.versions != known.reading.versions
+            and report.at > engine_state.at
+            and report.versions != engine_state.reading.versions
         ):
             return True
         for model in pool.models:
-            target = self._target(model.name, model.version)
-            if target is not None and known.reading.versions.get(model.name) != target:
+            target = self._target_version(model.name, model.version)
+            if (
+                target is not None
+                and engine_state.reading.versions.get(model.name) != target
+            ):
                 return True
-        return boot_time() - known.at > _REREAD
+        return boot_time() - engine_state.at > _REREAD_INTERVAL
 
     async def _read_engine(self, engine: Engine) -> None:
-        known = self._known[engine.name]
-        known.at = boot_time()
+        engine_state = self._engine_states[engine.name]
+        engine_state.at = boot_time()
         try:
-            known.reading = await self._backends.read_load(engine.address, 1.0)
+            engine_state.reading = await self._backends.read_load(engine.address, 1.0)
         except (aiohttp.ClientError, TimeoutError, ValueError):
-            known.reading = None
+            engine_state.reading = None
 
-    def _order_pool(self, held: HeldLease, pool: Pool, model: str, target: int) -> None:
+    def _order_pool(
+        self, lease: HeldLease, pool: Pool, model: str, target: int
+    ) -> None:
         engines = {
             e.name: e for e in pool.engines if e.data_centre == self._state.data_centre
         }
         weights = [self._weights(name, model) for name in engines]
         for order in next_orders(weights, model, target, pool.swap_share):
-            task = asyncio.create_task(self._give(held, engines[order.engine], order))
+            task = asyncio.create_task(
+                self._send_order(lease, engines[order.engine], order)
+            )
             self._orders.add(task)
             task.add_done_callback(self._orders.discard)
 
     def _weights(self, name: str, model: str) -> EngineWeights:
-        known = self._known.get(name, _Known())
-        if known.reading is None:
-            return EngineWeights(name, -1, -1, known.busy, alive=False)
+        engine_state = self._engine_states.get(name, _EngineState())
+        if engine_state.reading is None:
+            return EngineWeights(name, -1, -1, engine_state.busy, alive=False)
         return EngineWeights(
             name,
-            known.reading.versions.get(model, -1),
-            known.reading.staged.get(model, -1),
-            known.busy,
+            engine_state.reading.versions.get(model, -1),
+            engine_state.reading.staged.get(model, -1),
+            engine_state.busy,
         )
 
-    async def _give(self, held: HeldLease, engine: Engine, order: Order) -> None:
-        known = self._known[engine.name]
-        if known.busy:
+    async def _send_order(self, lease: HeldLease, engine: Engine, order: Order) -> None:
+        engine_state = self._engine_states[engine.name]
+        if engine_state.busy:
             return
         timeout = self._state.settings.timings.order_timeout
-        current = self._keeper.held(held.name)
-        # Checked in the very step in which the order is written: an engine that
-        # ignores fencing numbers has only this guard.
+        current = self._keeper.held(lease.name)
+        # Checked immediately before the order is sent: it is the only protection for an
+        # engine that ignores fencing numbers.
         if current is None or not current.may_act(boot_time(), timeout):
             return
-        known.busy = True
+        engine_state.busy = True
         body = {
             "order_id": uuid.uuid4().hex,
             "fence": current.fence,
@@ -245,6 +256,6 @@
         except (aiohttp.ClientError, TimeoutError):
             self._metrics.orders.add(1, {"outcome": "unknown"})
         finally:
-            known.busy = False
-        # What the engine said of the order does not count, only its state does.
+            engine_state.busy = False
+        # The engine's state decides, not its response to the order.
         await self._read_engine(engine)
--- a/packages/saddledoord/src/saddledoord/backends/dispatch.py
+++ b/packages/saddledoord/src/saddledoord/backends/dispatch.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Slots of back ends on this node: who may use one now, and who waits.
+Grants slots of backend servers to requests on this VM and queues the others.
 """
 
 from __future__ import annotations
@@ -38,22 +38,22 @@
 
 __all__ = ["Dispatcher", "Grant", "Wanted"]
 
-#: How often waiting requests are looked at again, in seconds.
-_REVIEW = 0.05
+#: Interval of trying to grant slots to waiting requests, in seconds.
+_RECHECK_INTERVAL = 0.05
 
-
-_NO_NEED = BackendRequirement()
+_NO_REQUIREMENT = BackendRequirement()
 
 
 @dataclass(frozen=True)
 class Wanted:
     """
-    What a request needs of a back end.
+    A request for a slot of a backend server.
 
     :param target: Name of a pool or service.
     :param cost: Expected work, in tokens.
-    :param deadline: When waiting is over, in seconds of the daemon's clock.
-    :param avoid: Back ends that failed this request before.
+    :param deadline: End of the wait for a slot, in seconds of `boot_time`.
+    :param avoid: Backend servers that already failed this request.
+    :param local_only: Whether only this data centre's backend servers may be used.
     """
 
     target: str
@@ -62,7 +62,7 @@
     weight: float
     cost: float
     deadline: float
-    requirement: BackendRequirement = _NO_NEED
+    requirement: BackendRequirement = _NO_REQUIREMENT
     avoid: frozenset[str] = frozenset()
     local_only: bool = False
 
@@ -70,7 +70,9 @@
 @dataclass(frozen=True)
 class Grant:
     """
-    A slot of a back end, to be given back by ``release``.
+    A granted slot of a backend server.
+
+    :param release: Releases the slot; later calls have no effect.
     """
 
     name: str
@@ -86,7 +88,7 @@
 
 class Dispatcher:
     """
-    Hands out slots of all pools and services.
+    Grants slots of all pools and services.
     """
 
     def __init__(self, state: NodeState) -> None:
@@ -97,23 +99,23 @@
             "round_robin": round_robin(),
             "uniform": uniform(random.random),
         }
-        self._own: dict[str, int] = {}
+        self._in_flight: dict[str, int] = {}
         self._failed_at: dict[str, float] = {}
         self._queues: dict[str, FairQueue[_Waiter]] = {}
-        self._someone_waits = asyncio.Event()
+        self._has_waiters = asyncio.Event()
 
     @property
     def trace(self) -> Emit:
         """
-        Where the attempts that use a slot are traced too.
+        Record a trace event, for the attempts that use a granted slot.
         """
         return self._state.trace
 
     def in_flight(self, name: str) -> int:
         """
-        Return this node's requests at a back end, a count.
+        Return the number of this VM's requests in flight at a backend server.
         """
-        return self._own.get(name, 0)
+        return self._in_flight.get(name, 0)
 
     def waiting(self) -> int:
         """
@@ -123,15 +125,15 @@
 
     def note_failure(self, name: str) -> None:
         """
-        Keep new work from a back end that just failed.
+        Record a failure of a backend server, which gets no new work during its backoff.
         """
         self._failed_at[name] = boot_time()
 
     async def acquire(self, wanted: Wanted) -> Grant | NotRun:
         """
-        Wait for a slot, at most until the request's deadline.
+        Wait for a slot until the request's deadline.
         """
-        usable = self._usable(wanted)
+        usable = self._usable_candidates(wanted)
         if not usable:
             return NotRun(ResultCode.NO_BACKEND, f"no back end for {wanted.target}")
         queue = self._queue(wanted.target)
@@ -147,21 +149,21 @@
             pushed.displaced.future.set_result(_overloaded())
         if not pushed.queued:
             return _overloaded()
-        self._someone_waits.set()
+        self._has_waiters.set()
         return await self._wait(waiter)
 
     async def review(self) -> None:
         """
-        Serve waiting requests when slots come free by other ways than a release.
+        Grant slots that became free in another way than by a release.
         """
         while True:
-            # An idle VM must not wake up for this: its share of a core is small.
-            await self._someone_waits.wait()
-            await asyncio.sleep(_REVIEW)
+            # Avoids wake-ups on an idle VM.
+            await self._has_waiters.wait()
+            await asyncio.sleep(_RECHECK_INTERVAL)
             for target in list(self._queues):
-                self._serve(target)
+                self._grant_to_waiters(target)
             if not self.waiting():
-                self._someone_waits.clear()
+                self._has_waiters.clear()
 
     async def _wait(self, waiter: _Waiter) -> Grant | NotRun:
         limit = max(0.0, waiter.wanted.deadline - boot_time())
@@ -170,7 +172,7 @@
         except TimeoutError:
             return NotRun(ResultCode.TIMED_OUT_IN_QUEUE, "no slot came free", 1.0)
         except asyncio.CancelledError:
-            # The caller left in the very step in which it got the slot.
+            # Cancelled after the slot was granted: release it.
             if waiter.future.done() and not waiter.future.cancelled():
                 outcome = waiter.future.result()
                 if isinstance(outcome, Grant):
@@ -184,7 +186,7 @@
             self._queues[target] = FairQueue(capacity)
         return self._queues[target]
 
-    def _serve(self, target: str) -> None:
+    def _grant_to_waiters(self, target: str) -> None:
         queue = self._queues[target]
         blocked: dict[WorkClass, _Waiter] = {}
         while (waiter := queue.pop(frozenset(blocked))) is not None:
@@ -196,14 +198,14 @@
             else:
                 waiter.future.set_result(grant)
         for work, waiter in blocked.items():
-            # Its cost was counted when it was queued: it keeps its place in front.
+            # Its cost was charged when it was queued, so it returns to the front.
             queue.push_front(work, waiter)
 
     def _try_grant(self, wanted: Wanted) -> Grant | None:
         candidates = [
             (member, candidate)
-            for member, candidate in self._usable(wanted)
-            if self._has_room(candidate)
+            for member, candidate in self._usable_candidates(wanted)
+            if self._has_free_slot(candidate)
         ]
         if not candidates:
             return None
@@ -213,7 +215,7 @@
         return self._grant(member, wanted.target)
 
     def _grant(self, member: Engine | Instance, target: str) -> Grant:
-        self._own[member.name] = self.in_flight(member.name) + 1
+        self._in_flight[member.name] = self.in_flight(member.name) + 1
         self._state.trace(SlotGranted(member.name))
         released = False
 
@@ -222,30 +224,34 @@
             if released:
                 return
             released = True
-            self._own[member.name] -= 1
+            self._in_flight[member.name] -= 1
             if target in self._queues:
-                self._serve(target)
+                self._grant_to_waiters(target)
 
         return Grant(member.name, member.address, release)
 
-    def _usable(self, wanted: Wanted) -> list[tuple[Engine | Instance, Candidate]]:
+    def _usable_candidates(
+        self, wanted: Wanted
+    ) -> list[tuple[Engine | Instance, Candidate]]:
         members = self._members(wanted.target)
         reports = self._state.members.reports()
         now = boot_time()
         local = self._state.data_centre
-        near = [m for m in members if m.data_centre == local]
-        far = [] if wanted.local_only else self._usable_afar(members, now)
-        for group in (near, far):
+        local_members = [m for m in members if m.data_centre == local]
+        remote_members = (
+            [] if wanted.local_only else self._usable_remote_members(members, now)
+        )
+        for group in (local_members, remote_members):
             usable = [
                 (m, self._candidate(m, reports.get(m.name), now))
                 for m in group
-                if self._may_use(m, wanted, reports.get(m.name), now)
+                if self._is_usable(m, wanted, reports.get(m.name), now)
             ]
             if usable:
                 return usable
         return []
 
-    def _usable_afar(
+    def _usable_remote_members(
         self, members: tuple[Engine | Instance, ...], now: float
     ) -> list[Engine | Instance]:
         sites = self._state.members.sites(now)
@@ -263,7 +269,7 @@
         service = deployment.service(target)
         return service.instances if service else ()
 
-    def _may_use(
+    def _is_usable(
         self,
         member: Engine | Instance,
         wanted: Wanted,
@@ -283,11 +289,11 @@
             return Candidate(member.name, member.slots, own)
         return Candidate(member.name, member.slots, own, report.load, now - report.at)
 
-    def _has_room(self, candidate: Candidate) -> bool:
-        # This node's even share is always its own; beyond it, what others seem to
-        # use counts, less and less as the report grows old.
-        nodes = max(1, len(self._state.live_vms()))
-        share = max(1, candidate.slots // nodes)
+    def _has_free_slot(self, candidate: Candidate) -> bool:
+        # An even share of the slots is reserved for this VM. Beyond it, the reported
+        # load of other VMs counts, decaying with the age of the report.
+        vms = max(1, len(self._state.live_vms()))
+        share = max(1, candidate.slots // vms)
         if candidate.own < share:
             return True
         others = max(0.0, candidate.reported - candidate.own) * 0.5**candidate.age
--- a/packages/saddledoord/src/saddledoord/backends/send_once.py
+++ b/packages/saddledoord/src/saddledoord/backends/send_once.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Keeps the HTTP client from sending a request twice by itself.
+Client middleware that disables aiohttp's automatic retry of requests.
 """
 
 from __future__ import annotations
@@ -22,9 +22,12 @@
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """
-    A middleware: the library repeats idempotent methods after just these two errors.
+    Raise an error type that aiohttp does not retry.
 
-    :raises HandedOverError: In their place.
+    aiohttp resends idempotent methods after `ClientOSError` and
+    `ServerDisconnectedError`.
+
+    :raises HandedOverError: In place of these two errors.
     """
     try:
         return await handler(request)
--- a/packages/saddledoord/src/saddledoord/backends/sockets.py
+++ b/packages/saddledoord/src/saddledoord/backends/sockets.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Sockets that take back what was not delivered when they are closed.
+Sockets that discard undelivered data when they are closed.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 __all__ = ["resetting_socket"]
 
-#: Linger on, for no time: closing resets the connection (POSIX, SO_LINGER).
+#: SO_LINGER value with a timeout of zero: closing resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def resetting_socket(addr_info: tuple) -> socket.socket:
     """
-    Return a socket whose close discards the bytes that wait to be sent.
+    Create a socket that discards unsent bytes when it is closed.
 
-    After an ordinary close the system goes on sending them, so a request that was given
-    up behind a cut link still arrives once the link heals, seconds later.
+    After an ordinary close the kernel keeps retransmitting them, so an abandoned
+    request could still arrive after a network partition heals.
 
-    :param addr_info: As `socket.getaddrinfo` gives it.
+    :param addr_info: An entry of the result of `socket.getaddrinfo`.
     """
     family, kind, protocol, *_ = addr_info
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
-    return made
+    sock = socket.socket(family, kind, protocol)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+    return sock
--- a/packages/saddledoord/src/saddledoord/backends/timely.py
+++ b/packages/saddledoord/src/saddledoord/backends/timely.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests that are sent soon after they were decided on, or not at all.
+HTTP client classes that drop a request whose decision to send it is too old.
 
-A process may stand still between the decision and the first byte, and the request
-would then be sent by what was known before: of 40 scoring calls that were under way
-when their job ended, one reached its engine 3.6 s later. The client's own limit does
-not help, since the connection may be there when its timer is looked at.
+The process may be paused between the decision and the first byte, and the decision may
+no longer hold when it resumes. The client's connection timeout does not cover this: the
+connection may be ready before the event loop handles the timer.
 """
 
 from __future__ import annotations
@@ -22,9 +21,9 @@
 
 __all__ = ["TimelyConnector", "TimelyRequest", "send"]
 
-#: Longest time from the decision to send something until its first byte is written, in
-#: seconds: a connection may take 0.5 s.
-_SEND_WITHIN = 0.8
+#: Longest time from the decision to send a request until its first byte is written, in
+#: seconds.
+_MAX_SEND_DELAY = 0.8
 
 _decided_at: ContextVar[float] = ContextVar("decided_at", default=float("inf"))
 
@@ -34,10 +33,10 @@
     request: AbstractAsyncContextManager[aiohttp.ClientResponse], decided_at: float
 ) -> AsyncIterator[aiohttp.ClientResponse]:
     """
-    Send a request of a session that makes `TimelyRequest` over a `TimelyConnector`.
+    Send a request of a session that uses `TimelyRequest` and `TimelyConnector`.
 
-    :param decided_at: When it was decided to send it, monotonic, in seconds, time of
-        suspension included. It counts for this request only: the task may send others.
+    :param decided_at: Time of the decision to send it, on the clock of `boot_time`, in
+        seconds. Applies to this request only.
     """
     async with AsyncExitStack() as stack:
         token = _decided_at.set(decided_at)
@@ -50,7 +49,7 @@
 
 class TimelyConnector(aiohttp.TCPConnector):
     """
-    Gives no connection to a request that was decided on long ago.
+    Refuses a connection to a request whose decision is too old.
     """
 
     async def connect(
@@ -60,12 +59,12 @@
         timeout: aiohttp.ClientTimeout,
     ) -> aiohttp.connector.Connection:
         """
-        As the library's.
+        Get a connection, as `aiohttp.TCPConnector.connect` does.
 
         :raises TimeoutError: Also if the decision is too old; nothing was sent.
         """
         connection = await super().connect(req, traces, timeout)
-        if _is_too_late():
+        if _is_decision_too_old():
             connection.close()
             raise TimeoutError("decided on too long ago")
         return connection
@@ -73,11 +72,11 @@
 
 class TimelyRequest(aiohttp.ClientRequest):
     """
-    Writes nothing of a request that was decided on long ago.
+    Writes nothing of a request whose decision is too old.
 
-    The library writes a body, and the head with it, in a task of its own, which begins
-    a step of the loop after the connection was taken: at a load of 18 on 8 cores
-    2 of 40 scoring calls were caught by a standstill there.
+    aiohttp writes the headers and the body in a separate task, which starts one event
+    loop iteration after the connection was acquired; the process may be paused between
+    the two.
     """
 
     async def write_bytes(
@@ -87,15 +86,17 @@
         content_length: int | None = None,
     ) -> None:
         """
-        As the library's; whoever waits for the answer gets a `ConnectionTimeoutError`
-        if the decision is too old.
+        Write the request, as `aiohttp.ClientRequest.write_bytes` does.
+
+        If the decision is too old, waiting for the response raises
+        `aiohttp.ConnectionTimeoutError`.
         """
-        if not _is_too_late():
+        if not _is_decision_too_old():
             await super().write_bytes(writer, conn, content_length)
         elif conn.protocol is not None:
-            late = aiohttp.ConnectionTimeoutError("decided on too long ago")
-            conn.protocol.set_exception(late)
+            error = aiohttp.ConnectionTimeoutError("decided on too long ago")
+            conn.protocol.set_exception(error)
 
 
-def _is_too_late() -> bool:
-    return boot_time() - _decided_at.get() > _SEND_WITHIN
+def _is_decision_too_old() -> bool:
+    return boot_time() - _decided_at.get() > _MAX_SEND_DELAY
--- a/packages/saddledoord/src/saddledoord/backends/watcher.py
+++ b/packages/saddledoord/src/saddledoord/backends/watcher.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Watches back ends: each has one watcher in its data centre, chosen by rendezvous.
+Polls the load of backend servers; rendezvous hashing assigns each to one local VM.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 __all__ = ["Watcher", "backends_here"]
 
-#: Longest wait for a back end's load, in seconds.
-_TIMEOUT = 1.0
+#: Timeout of reading a backend server's load, in seconds.
+_READ_TIMEOUT = 1.0
 
 
 def backends_here(state: NodeState) -> list[Engine | Instance]:
     """
-    Return the engines and service instances of the own data centre.
+    Return the engines and service instances of this VM's data centre.
     """
     deployment = state.deployment
     if deployment is None:
@@ -40,7 +40,7 @@
 
 class Watcher:
     """
-    Reads the load of the back ends that this VM is responsible for.
+    Reads the load of the backend servers that are assigned to this VM.
     """
 
     def __init__(self, state: NodeState, backends: Backends) -> None:
@@ -50,27 +50,27 @@
 
     def reports(self) -> tuple[BackendReport, ...]:
         """
-        Return this VM's own readings, for its entry.
+        Return this VM's own reports, for its member entry.
         """
         return tuple(self._reports.values())
 
     async def run(self) -> None:
         """
-        Read again and again until cancelled.
+        Read all assigned backend servers periodically until cancelled.
         """
         while True:
-            mine = self._responsible_for()
-            for name in set(self._reports) - {member.name for member in mine}:
+            assigned = self._assigned_backends()
+            for name in set(self._reports) - {member.name for member in assigned}:
                 del self._reports[name]
-            await asyncio.gather(*(self.read(member) for member in mine))
+            await asyncio.gather(*(self.read(member) for member in assigned))
             await asyncio.sleep(self._state.settings.timings.watch)
 
     async def read(self, member: Engine | Instance) -> BackendReport:
         """
-        Read one back end now and keep what it said.
+        Read one backend server now and store the report.
         """
         try:
-            reading = await self._backends.read_load(member.address, _TIMEOUT)
+            reading = await self._backends.read_load(member.address, _READ_TIMEOUT)
         except (aiohttp.ClientError, TimeoutError, ValueError):
             report = BackendReport(member.name, False, 0.0, boot_time())
         else:
@@ -87,7 +87,7 @@
             self._state.note_leaving()
         return report
 
-    def _responsible_for(self) -> list[Engine | Instance]:
+    def _assigned_backends(self) -> list[Engine | Instance]:
         live = self._state.live_vms()
         return [
             member
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -57,7 +57,7 @@
     Guard(
         "what was decided on long ago is not sent",
         f"{DAEMON}/backends/timely.py",
-        "        if _is_too_late():\n",
+        "        if _is_decision_too_old():\n",
         "        if False:\n",
         (TIMELY, "long_ago"),
     ),
@@ -71,7 +71,7 @@
     Guard(
         "nothing is written for what was decided on long ago",
         f"{DAEMON}/backends/timely.py",
-        "if not _is_too_late():",
+        "if not _is_decision_too_old():",
         "if True:",
         (TIMELY, "before_its_first_byte"),
     ),
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a closed connection leaves behind.
+Closing a socket of `resetting_socket` discards undelivered data.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 
 def test_closing_discards_what_was_not_delivered():
     """
-    The peer sees a reset, not the end of a request that may still be coming.
+    The peer gets a connection reset, not an end of stream.
     """
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
-        made = resetting_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", address))
-        made.connect(address)
+        sock = resetting_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", address))
+        sock.connect(address)
         peer, _ = server.accept()
         with peer:
-            made.close()
+            sock.close()
             with pytest.raises(ConnectionResetError):
                 peer.recv(1)
 
 
 def test_closing_a_full_connection_does_not_go_on_sending():
     """
-    The peer gets less than was written: the rest is gone with the socket.
+    The peer receives less than was written: the rest is discarded on close.
     """
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
-        made = resetting_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", address))
-        made.connect(address)
-        made.setblocking(False)
+        sock = resetting_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", address))
+        sock.connect(address)
+        sock.setblocking(False)
         peer, _ = server.accept()
         written = 0
         with pytest.raises(BlockingIOError):
             while True:
-                written += made.send(b"x" * 65536)
-        made.close()
+                written += sock.send(b"x" * 65536)
+        sock.close()
         with peer, pytest.raises(ConnectionResetError):
             while written > 0:
                 written -= len(peer.recv(1 << 20)) or written
--- a/tests/test_timely.py
+++ b/tests/test_timely.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Requests whose sender stood still before there was a connection for them.
+Requests are not sent after a process pause between the decision and the first byte.
 """
 
 from __future__ import annotations
@@ -18,16 +18,19 @@
 from saddledoord.backends.timely import TimelyConnector, TimelyRequest, send
 
 
-async def _ask(ages: list[float], body: bytes = b"") -> tuple[list[bool], int]:
+async def _send_requests(
+    ages: list[float], body: bytes = b""
+) -> tuple[list[bool], int]:
     """
-    Ask a service once for each age of the decision, in seconds; return which were
-    answered, and how many it got.
+    Send one request for each age of its decision, in seconds.
+
+    :returns: Which requests were answered, and how many the server received.
     """
-    got = 0
+    received = 0
 
     async def answer(request: web.Request) -> web.Response:
-        nonlocal got
-        got += 1
+        nonlocal received
+        received += 1
         return web.Response()
 
     app = web.Application()
@@ -50,26 +53,26 @@
             except aiohttp.ConnectionTimeoutError:
                 answered.append(False)
     await runner.cleanup()
-    return answered, got
+    return answered, received
 
 
 @pytest.mark.parametrize("first", [0.0, 3.0])
 def test_what_was_decided_on_long_ago_is_not_sent(first):
     """
-    Neither over a new connection nor over one that is kept; the next one is sent.
+    Neither over a new connection nor over a pooled one; the next request is sent.
     """
-    answered, got = asyncio.run(_ask([first, 3.0, 0.0]))
+    answered, received = asyncio.run(_send_requests([first, 3.0, 0.0]))
     assert answered == [first == 0.0, False, True]
-    assert got == sum(answered)
+    assert received == sum(answered)
 
 
 def test_a_standstill_just_before_its_first_byte_stops_a_request(monkeypatch):
     """
-    Its connection was taken in time; the next request is sent.
+    The pause follows the acquired connection; the next request is sent.
     """
     clock = iter([10.0, 13.8, 20.0, 20.0])
     monkeypatch.setattr(timely, "boot_time", lambda: next(clock))
     times = iter([10.0, 20.0])
     monkeypatch.setattr(sys.modules[__name__], "boot_time", lambda: next(times))
-    answered, got = asyncio.run(_ask([0.0, 0.0], b"body"))
-    assert (answered, got) == ([False, True], 1)
+    answered, received = asyncio.run(_send_requests([0.0, 0.0], b"body"))
+    assert (answered, received) == ([False, True], 1)
