--- a/packages/saddledoord/src/saddledoord/http/__init__.py
+++ b/packages/saddledoord/src/saddledoord/http/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-The HTTP face of the daemon's own interface.
+The daemon's HTTP interface.
 """
--- a/packages/saddledoord/src/saddledoord/http/app.py
+++ b/packages/saddledoord/src/saddledoord/http/app.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The HTTP face: completions, pass-through, trainers' steps and operators' endpoints.
+The ASGI application: completions, service calls, trainers' steps, operator endpoints.
 """
 
 from __future__ import annotations
@@ -36,22 +36,22 @@
 
 __all__ = ["build_app"]
 
-#: Largest body of a submitted step, in bytes.
+#: Largest request body of a submitted step, in bytes.
 _MAX_STEP_BYTES = 32_000_000
-#: Largest body while no configuration says otherwise, in bytes.
-_DEFAULT_MAX_BODY = 1_000_000
+#: Largest request body without a configuration, in bytes.
+_DEFAULT_MAX_BODY_BYTES = 1_000_000
 
 
-class _Marks:
+class _RequestMiddleware:
     """
-    Notes when a request began, and says on answers who gave them.
+    Middleware that records a request's start and adds the response headers.
     """
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
     async def process_request(self, req, resp) -> None:
-        req.context.began = boot_time()
+        req.context.started_at = boot_time()
 
     async def process_response(self, req, resp, resource, succeeded) -> None:
         resp.set_header("X-Saddledoor-Vm", self._state.settings.vm)
@@ -59,9 +59,9 @@
             resp.set_header("Connection", "close")
 
 
-def _counted(app: falcon.asgi.App, in_flight: InFlight) -> Callable:
+def _count_in_flight(app: falcon.asgi.App, in_flight: InFlight) -> Callable:
     """
-    Return an application that counts requests up to the last byte of their answer.
+    Wrap an application to count requests until their response is complete.
     """
 
     async def serve(scope, receive, send) -> None:
@@ -89,26 +89,28 @@
 
     def _max_body(self) -> int:
         deployment = self._state.deployment
-        return deployment.limits.max_body_bytes if deployment else _DEFAULT_MAX_BODY
+        return (
+            deployment.limits.max_body_bytes if deployment else _DEFAULT_MAX_BODY_BYTES
+        )
 
     def _identify(self, req) -> Caller | NotRun:
         return self._pipeline.identify(req.get_header("Authorization"))
 
-    def _measure(self, req, resp, caller: Caller, model: str = "") -> None:
+    def _record_burn(self, req, resp, caller: Caller, model: str = "") -> None:
         """
-        Count an ended request for the burn report.
+        Record a completed request for the burn report.
         """
         pool = self._state.pool_of_model(model) if model else None
-        seconds = boot_time() - req.context.began
+        seconds = boot_time() - req.context.started_at
         code = getattr(resp.context, "code", ResultCode.DONE)
         self._burn.request(caller.name, pool.name if pool else "", code, seconds)
 
     def _refuse(self, resp, kind: str, outcome: NotRun | OutcomeUnknown) -> None:
-        self._count(kind, outcome.code)
+        self._count_outcome(kind, outcome.code)
         resp.context.code = outcome.code
         encode_refusal(resp, outcome)
 
-    def _count(self, kind: str, code: ResultCode) -> None:
+    def _count_outcome(self, kind: str, code: ResultCode) -> None:
         self._metrics.requests.add(1, {"kind": kind, "code": str(int(code))})
 
 
@@ -130,14 +132,14 @@
             return await self._stream(req, resp, parts)
         whole = await collect_whole(parts, body.max_tokens, "caller", self._state.trace)
         if isinstance(whole, Answer):
-            self._count("completion", ResultCode.DONE)
+            self._count_outcome("completion", ResultCode.DONE)
             resp.media = completion_media(whole, body.model)
         else:
             self._refuse(resp, "completion", whole)
-        return self._measure(req, resp, caller, body.model)
+        return self._record_burn(req, resp, caller, body.model)
 
     async def _stream(self, req, resp, parts: AsyncIterator) -> None:
-        # The first part decides the status: what never ran is refused plainly.
+        # The first part decides the status: a request that did not run is refused.
         first = await anext(parts)
         if not isinstance(first, Part):
             return self._refuse(resp, "completion", first)
@@ -150,12 +152,12 @@
             while isinstance(part, Part):
                 yield event(part_media(part))
                 if part.finish_reason is not None:
-                    self._count("completion", ResultCode.DONE)
+                    self._count_outcome("completion", ResultCode.DONE)
                     yield b"data: [DONE]\n\n"
                     return
                 part = await anext(parts)
-            # No end marker: what was sent is not a whole answer, and says so.
-            self._count("completion", part.code)
+            # The answer is incomplete: send an error event in place of the end marker.
+            self._count_outcome("completion", part.code)
             yield event({"error": error_body(part)})
         finally:
             await parts.aclose()
@@ -184,10 +186,10 @@
             self._encode(resp, result)
         else:
             self._refuse(resp, "call", result)
-        self._measure(req, resp, caller)
+        self._record_burn(req, resp, caller)
 
     def _encode(self, resp, result: CallAnswer) -> None:
-        self._count("call", ResultCode.DONE)
+        self._count_outcome("call", ResultCode.DONE)
         resp.status = result.status
         resp.content_type = result.content_type
         resp.data = result.body
@@ -212,13 +214,13 @@
         self._collectors = collectors
 
     async def on_post(self, req, resp, trainer: str, step: int) -> None:
-        await self._operate(req, resp, trainer, step, "submit", _MAX_STEP_BYTES)
+        await self._serve_operation(req, resp, trainer, step, "submit", _MAX_STEP_BYTES)
 
     async def on_post_fetch(self, req, resp, trainer: str, step: int) -> None:
-        await self._operate(req, resp, trainer, step, "fetch", self._max_body())
+        await self._serve_operation(req, resp, trainer, step, "fetch", self._max_body())
 
-    async def _operate(
-        self, req, resp, trainer: str, step: int, operation: str, largest: int
+    async def _serve_operation(
+        self, req, resp, trainer: str, step: int, operation: str, max_bytes: int
     ) -> None:
         caller = self._identify(req)
         if isinstance(caller, NotRun):
@@ -226,13 +228,13 @@
         if caller.trainer is None or caller.trainer.name != trainer:
             other = NotRun(ResultCode.FORBIDDEN, "the token is not this trainer's", 0.0)
             return self._refuse(resp, operation, other)
-        body = await read_body(req, self._state, largest)
+        body = await read_body(req, self._state, max_bytes)
         if isinstance(body, NotRun):
             return self._refuse(resp, operation, body)
         result = await self._collectors.serve(caller.trainer, operation, step, body)
         if isinstance(result, NotRun):
             return self._refuse(resp, operation, result)
-        self._count(operation, ResultCode.DONE)
+        self._count_outcome(operation, ResultCode.DONE)
         resp.content_type = JSON
         resp.data = result.payload
 
@@ -249,7 +251,7 @@
     """
     Return the ASGI application.
     """
-    app = falcon.asgi.App(middleware=[_Marks(state)])
+    app = falcon.asgi.App(middleware=[_RequestMiddleware(state)])
     shared = (state, pipeline, metrics, burn)
     steps = _Steps(*shared, collectors=collectors)
     operators = Operators(state, metrics, status)
@@ -264,4 +266,4 @@
     app.add_route("/readyz", operators, suffix="ready")
     app.add_route("/metrics", operators, suffix="metrics")
     app.add_route("/v1/status", operators, suffix="status")
-    return _counted(app, in_flight)
+    return _count_in_flight(app, in_flight)
--- a/packages/saddledoord/src/saddledoord/http/bodies.py
+++ b/packages/saddledoord/src/saddledoord/http/bodies.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Bodies of the HTTP face: what is read of callers, and how answers are encoded.
+Reads request bodies and encodes response bodies of the HTTP interface.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     "read_body",
 ]
 
-#: Longest wait for a body's end while no configuration says otherwise, in seconds.
+#: Timeout of reading a request body without a configuration, in seconds.
 _DEFAULT_BODY_TIMEOUT = 5.0
 
 JSON = "application/json"
@@ -52,19 +52,19 @@
     return body
 
 
-async def read_body(req, state: NodeState, largest: int) -> bytes | NotRun:
+async def read_body(req, state: NodeState, max_bytes: int) -> bytes | NotRun:
     deployment = state.deployment
     timeout = deployment.limits.body_timeout_s if deployment else _DEFAULT_BODY_TIMEOUT
-    if (req.content_length or 0) > largest:
-        detail = f"{req.content_length} bytes; at most {largest}"
+    if (req.content_length or 0) > max_bytes:
+        detail = f"{req.content_length} bytes; at most {max_bytes}"
         return NotRun(ResultCode.TOO_LARGE, detail, 0.0)
     try:
-        body = await asyncio.wait_for(req.stream.read(largest + 1), timeout)
+        body = await asyncio.wait_for(req.stream.read(max_bytes + 1), timeout)
     except TimeoutError:
         detail = f"the body did not end within {timeout} s"
         return NotRun(ResultCode.BODY_TIMEOUT, detail, 0.0)
-    if len(body) > largest:
-        return NotRun(ResultCode.TOO_LARGE, f"at most {largest} bytes", 0.0)
+    if len(body) > max_bytes:
+        return NotRun(ResultCode.TOO_LARGE, f"at most {max_bytes} bytes", 0.0)
     return body
 
 
--- a/packages/saddledoord/src/saddledoord/http/in_flight.py
+++ b/packages/saddledoord/src/saddledoord/http/in_flight.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Counts what a planned stop has to wait for: requests of callers and of peers.
+Counts the requests of callers and peers that a planned stop waits for.
 """
 
 from __future__ import annotations
@@ -19,47 +19,47 @@
 
 class InFlight:
     """
-    Requests that have begun and did not get their last byte.
+    Requests whose response is not complete.
 
-    A trainer's operation that another VM passes on is not counted: its fetches would
-    keep a stopping collector from ever handing over, and may be repeated.
+    A trainer's operation that another VM forwards is not counted: it may be repeated,
+    and continuous fetches would keep a stopping collector from handing over.
     """
 
     @property
     def count(self) -> int:
         """
-        Requests in flight.
+        The number of requests in flight.
         """
-        return len(self._open)
+        return len(self._open_requests)
 
     def __init__(self, trace: Emit) -> None:
         self._trace = trace
-        self._numbers = 0
-        self._open: set[int] = set()
+        self._last_number = 0
+        self._open_requests: set[int] = set()
 
     def begin(self) -> int:
         """
-        Count a request that begins.
+        Add a request.
 
-        :returns: Its number, for `end`.
+        :returns: The request's number, for `end`.
         """
-        self._numbers += 1
-        self._open.add(self._numbers)
-        self._trace(RequestIn(self._numbers))
-        return self._numbers
+        self._last_number += 1
+        self._open_requests.add(self._last_number)
+        self._trace(RequestIn(self._last_number))
+        return self._last_number
 
     def end(self, number: int) -> None:
         """
-        Note that a request got its last byte; a second time changes nothing.
+        Remove a completed request; repeated calls have no effect.
         """
-        if number in self._open:
-            self._open.discard(number)
+        if number in self._open_requests:
+            self._open_requests.discard(number)
             self._trace(RequestOut(number))
 
     @contextlib.contextmanager
     def counted(self) -> Iterator[None]:
         """
-        Count what happens inside.
+        Count a request in flight within the context.
         """
         number = self.begin()
         try:
--- a/packages/saddledoord/src/saddledoord/http/operators.py
+++ b/packages/saddledoord/src/saddledoord/http/operators.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The HTTP face towards operators and the balancer.
+HTTP endpoints for operators and the load balancer.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 class Operators:
     """
-    Health, readiness, metrics and status.
+    Endpoints for health, readiness, metrics and status.
     """
 
     def __init__(
--- a/packages/saddledoord/src/saddledoord/http/server.py
+++ b/packages/saddledoord/src/saddledoord/http/server.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The HTTP server of a process that handles signals by itself.
+HTTP server without signal handlers, for a process that handles signals itself.
 """
 
 from __future__ import annotations
@@ -15,49 +15,49 @@
 
 __all__ = ["HttpServer", "listen", "server_config"]
 
-#: Largest header block of a caller, in bytes.
-_MAX_HEADERS = 32_768
-#: Connections that may wait to be accepted, a count.
+#: Largest header block of a request, in bytes.
+_MAX_HEADER_BYTES = 32_768
+#: Connections that may wait to be accepted.
 _BACKLOG = 1024
 
 
 class HttpServer(uvicorn.Server):
     """
-    A server that ends when it is told, not by a signal.
+    A server that is stopped by `end`, not by a signal.
     """
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self._ended = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     def end(self, *, force: bool) -> None:
         """
-        Close the listener and what is open on it.
+        Close the listener and its connections.
 
-        :param force: Whether to wait for nobody.
+        :param force: Whether to close without waiting for requests in flight.
         """
         self.should_exit = True
         self.force_exit = force
-        self._ended.set()
+        self._stop_requested.set()
 
     @contextlib.contextmanager
     def capture_signals(self):
-        # The daemon itself handles signals: a planned stop is more than closing.
+        # The daemon handles signals itself: a planned stop takes further steps.
         yield
 
     async def main_loop(self) -> None:
-        # The library's own loop wakes up ten times a second, which would cost an idle
-        # VM a fifth of its share of a core; nothing that it looks after is used here.
-        await self._ended.wait()
+        # Uvicorn's own loop wakes up ten times a second, which wastes CPU on an idle
+        # VM; nothing that it maintains is used here.
+        await self._stop_requested.wait()
 
 
 def server_config(
-    app, keep_alive: float, max_headers: int = _MAX_HEADERS
+    app, keep_alive: float, max_headers: int = _MAX_HEADER_BYTES
 ) -> uvicorn.Config:
     """
-    Return the settings of a server for an application.
+    Return the Uvicorn configuration of an application.
 
-    :param keep_alive: How long an idle caller's connection stays open, in seconds.
+    :param keep_alive: Timeout of idle connections, in seconds.
     :param max_headers: Largest header block, in bytes.
     """
     return uvicorn.Config(
@@ -78,7 +78,7 @@
     """
     Open a listening socket.
 
-    :raises OSError: If the address cannot be had; the message names it.
+    :raises OSError: If the address cannot be bound; the message contains it.
     """
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/packages/saddledoord/src/saddledoord/http/status.py
+++ b/packages/saddledoord/src/saddledoord/http/status.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-What a VM reports to operators.
+Status report of a VM for operators.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     state: NodeState, collectors: Collectors, dispatcher: Dispatcher
 ) -> Callable[[], dict]:
     """
-    Return a function that renders this VM's view as plain data.
+    Return a function that returns this VM's status as JSON-compatible data.
     """
 
     def read() -> dict:
@@ -32,7 +32,7 @@
             "stage": state.stage,
             "config_offset": state.active_config.offset,
             "config_unusable": state.active_config.unusable,
-            "log_away_s": _away(state, now),
+            "log_away_s": _seconds_unavailable(state, now),
             "waiting": dispatcher.waiting(),
             "vms": _vms(state),
             "sites": _sites(state, now),
@@ -44,7 +44,7 @@
     return read
 
 
-def _away(state: NodeState, now: float) -> float | None:
+def _seconds_unavailable(state: NodeState, now: float) -> float | None:
     since = state.log.away_since
     return None if since is None else round(now - since, 1)
 
