--- a/packages/saddledoord/src/saddledoord/peers/__init__.py
+++ b/packages/saddledoord/src/saddledoord/peers/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-What the daemons say to each other.
+Communication between daemons.
 """
--- a/packages/saddledoord/src/saddledoord/peers/client.py
+++ b/packages/saddledoord/src/saddledoord/peers/client.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Calls to other daemons, over gRPC channels that are kept open.
+gRPC client of other daemons, with persistent channels.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 )
 
 
-__all__ = ["MAX_MESSAGE", "PeerUnavailableError", "PeerClient"]
+__all__ = ["MAX_MESSAGE_BYTES", "PeerUnavailableError", "PeerClient"]
 
 #: Largest message between peers, in bytes.
-MAX_MESSAGE = 64_000_000
-#: Metadata that carries the deployment's peer secret.
-SECRET_KEY = "saddledoor-peer"
+MAX_MESSAGE_BYTES = 64_000_000
+#: Key of the metadata that carries the deployment's peer secret.
+SECRET_METADATA_KEY = "saddledoor-peer"
 
-#: How long calls on a channel that is closed may still take, in seconds.
+#: Longest time that calls on a closing channel may still take, in seconds.
 _CLOSE_GRACE = 60.0
 
 _OPTIONS = [
-    ("grpc.max_receive_message_length", MAX_MESSAGE),
-    ("grpc.max_send_message_length", MAX_MESSAGE),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+    ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.enable_retries", 0),
     ("grpc.initial_reconnect_backoff_ms", 200),
     ("grpc.max_reconnect_backoff_ms", 1000),
@@ -47,19 +47,19 @@
 
 class PeerUnavailableError(Exception):
     """
-    A peer gave no answer; what it was asked for may have happened.
+    A peer did not respond; it may still have processed the request.
     """
 
 
 class PeerClient:
     """
-    One channel per peer address.
+    Client with one channel per peer address.
 
-    :param secret: What daemons of one deployment prove to each other.
+    :param secret: Secret that authenticates the daemons of a deployment to each other.
     """
 
     def __init__(self, secret: str) -> None:
-        self._metadata = ((SECRET_KEY, secret),)
+        self._metadata = ((SECRET_METADATA_KEY, secret),)
         self._channels: dict[str, grpc.aio.Channel] = {}
         self._stubs: dict[str, PeerStub] = {}
 
@@ -67,13 +67,13 @@
         for channel in self._channels.values():
             await channel.close()
 
-    async def keep_only(self, addresses: set[str]) -> None:
+    async def close_channels_except(self, addresses: set[str]) -> None:
         """
-        Close channels to peers that are gone, when their calls have ended.
+        Close the channels to other addresses after their calls have ended.
         """
-        gone = set(self._channels) - addresses
-        channels = [self._channels.pop(address) for address in gone]
-        for address in gone:
+        stale = set(self._channels) - addresses
+        channels = [self._channels.pop(address) for address in stale]
+        for address in stale:
             del self._stubs[address]
         await asyncio.gather(*(channel.close(_CLOSE_GRACE) for channel in channels))
 
@@ -91,9 +91,9 @@
         self, address: str, partition: int, claim: KeyClaim, timeout: float
     ) -> KeyClaim | None:
         """
-        Ask a writer of claims who owns a key; none if the log could not be asked.
+        Ask a writer of claims for the owner of a key; None if the log is unavailable.
 
-        :raises PeerUnavailableError: If the writer gave no answer.
+        :raises PeerUnavailableError: If the writer did not respond.
         """
         request = pb.ClaimRequest(
             partition=partition,
@@ -110,9 +110,10 @@
         self, address: str, claim_id: str, wait: float
     ) -> CallAnswer | NotRun | OutcomeUnknown | None:
         """
-        Ask the owner of a key what became of it; none if it does not know.
+        Ask the owner of a key for its outcome; None if the owner does not know it.
 
-        :raises PeerUnavailableError: If the owner gave no answer.
+        :param wait: Longest wait for the outcome, in seconds.
+        :raises PeerUnavailableError: If the owner did not respond.
         """
         request = pb.OutcomeRequest(claim_id=claim_id, wait_s=wait)
         reply = await self._unary(address, "Outcome", request, wait + 1.0)
@@ -122,9 +123,9 @@
         self, address: str, work: pb.ServiceWork, timeout: float
     ) -> CallAnswer | NotRun | OutcomeUnknown | None:
         """
-        Run a call at the VM that issued its key.
+        Run a call on the VM that issued its key.
 
-        :raises PeerUnavailableError: If that VM gave no answer; the call may have run.
+        :raises PeerUnavailableError: If that VM did not respond; the call may have run.
         """
         return answer_from_wire(await self._unary(address, "Call", work, timeout))
 
@@ -132,7 +133,7 @@
         self, address: str, request: pb.CollectRequest, timeout: float
     ) -> pb.CollectReply:
         """
-        Pass a trainer's operation to its collector.
+        Forward a trainer's operation to its collector.
         """
         return await self._unary(address, "Collect", request, timeout)
 
@@ -140,7 +141,9 @@
         self, address: str, request: pb.HandOverRequest, timeout: float
     ) -> bool:
         """
-        Give finished samples to the next collector.
+        Hand finished samples over to the next collector.
+
+        :returns: Whether it accepted them.
         """
         reply = await self._unary(address, "HandOver", request, timeout)
         return reply.taken
@@ -149,7 +152,7 @@
         self, address: str, job: CompletionJob, timeout: float
     ) -> AsyncIterator[Part | NotRun | OutcomeUnknown]:
         """
-        Run a sample at an engine of the peer's data centre.
+        Run a completion on an engine of the peer's data centre.
         """
         work = work_to_wire(job, timeout)
         try:
--- a/packages/saddledoord/src/saddledoord/peers/exchange.py
+++ b/packages/saddledoord/src/saddledoord/peers/exchange.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Membership: pulls entries from peers here and summaries of other data centres.
+Membership gossip: pulls member entries of this data centre and others' summaries.
 """
 
 from __future__ import annotations
@@ -36,21 +36,24 @@
 
 __all__ = ["Exchange"]
 
-#: Longest wait for a peer's answer, in seconds.
+#: Timeout of a peer's response, in seconds.
 _TIMEOUT = 1.0
-#: Peers of this data centre that a summary names, a count.
-_SUMMARY_PEERS = 4
-#: Numbers that an entry gets before it would expire, a count.
-_RENEWALS = 4
-#: A summary is passed on only if it is younger by so much, in seconds.
-_FRESHER = 0.5
-#: Entries of VMs that are gone are dropped after so long, in seconds.
-_FORGET_AFTER = 60.0
+#: Peers of this data centre that a summary names at most.
+_MAX_SUMMARY_PEERS = 4
+#: Renewals of this VM's own entry per expiry period.
+_RENEWALS_PER_EXPIRY = 4
+#: A summary is forwarded only if it is newer by this difference, in seconds.
+_MIN_AGE_DIFFERENCE = 0.5
+#: Age at which entries of dead VMs are removed, in seconds.
+_FORGET_DEAD_AFTER = 60.0
 
 
 class Exchange:
     """
-    Keeps this VM's own entry and what it knows of others up to date.
+    Keeps this VM's own entry and its view of other members up to date.
+
+    :param held_leases: Returns the names of the leases that this VM holds.
+    :param request_vm_list: Requests a refresh of the list of VMs.
     """
 
     def __init__(
@@ -60,9 +63,9 @@
         watcher: Watcher,
         metrics: Metrics,
         held_leases: Callable[[], tuple[str, ...]],
-        ask_for_list: Callable[[], None],
+        request_vm_list: Callable[[], None],
     ) -> None:
-        self._ask_for_list = ask_for_list
+        self._request_vm_list = request_vm_list
         self._held_leases = held_leases
         self._state = state
         self._peers = peers
@@ -72,24 +75,24 @@
         self._pushed_seq = 0
         self._renewed_at = boot_time()
         expiry = state.settings.timings.member_expiry
-        self._renew_every = expiry / _RENEWALS
+        self._renewal_interval = expiry / _RENEWALS_PER_EXPIRY
 
     async def run_pulls(self) -> None:
         """
-        Pull from one random peer of this data centre, again and again.
+        Pull from a random peer of this data centre periodically.
         """
         while True:
             self.refresh_own()
             address = self._random_peer()
             if address is None or not await self._pull(address):
-                self._ask_for_list()
+                self._request_vm_list()
             now = boot_time()
-            self._state.members.forget_dead(now, _FORGET_AFTER)
+            self._state.members.forget_dead(now, _FORGET_DEAD_AFTER)
             await asyncio.sleep(self._state.settings.timings.exchange)
 
     async def run_summaries(self) -> None:
         """
-        Pull summaries of the data centres that this VM covers for its own.
+        Pull summaries of the data centres that are assigned to this VM periodically.
         """
         while True:
             await asyncio.sleep(self._state.settings.timings.summary)
@@ -98,22 +101,22 @@
             sites |= {item["data_centre"] for item in self._state.vm_list.values()}
             sites.discard(self._state.data_centre)
             live = self._state.live_vms()
-            mine = [
+            assigned = [
                 site
                 for site in sorted(sites)
                 if rendezvous(f"site/{site}", live) == self._state.settings.vm
             ]
-            await asyncio.gather(*(self._pull_summary(site) for site in mine))
+            await asyncio.gather(*(self._pull_summary(site) for site in assigned))
 
     def refresh_own(self) -> None:
         """
-        Renew this VM's own entry, and its number if others should hear of it.
+        Renew this VM's entry with a new number when it changed or a renewal is due.
         """
         entry = self._own_entry()
         known = self._state.members.entry(entry.vm)
         now = boot_time()
         changed = known is None or known.urgent_state != entry.urgent_state
-        if changed or now - self._renewed_at >= self._renew_every:
+        if changed or now - self._renewed_at >= self._renewal_interval:
             self._renewed_at = now
             self._seq += 1
             self._state.members.offer(replace(entry, seq=self._seq), now)
@@ -136,18 +139,19 @@
 
     def answer(self, request: pb.ExchangeRequest) -> pb.ExchangeReply:
         """
-        Answer a peer's pull with what it lacks.
+        Answer a peer's pull with the entries, configuration and summaries it lacks.
         """
         ranks = {r.vm: (r.started, r.seq) for r in request.ranks}
         now = boot_time()
         members = self._state.members
         if request.HasField("own"):
-            self._hear(entry_from_wire(request.own, now), now)
+            self._offer_entry(entry_from_wire(request.own, now), now)
         entries = [entry_to_wire(entry, now) for entry in members.newer_than(ranks)]
         sites = [
             site_to_wire(site, now)
             for site in members.sites(now)
-            if now - site.at + _FRESHER < request.site_ages.get(site.data_centre, 1e9)
+            if now - site.at + _MIN_AGE_DIFFERENCE
+            < request.site_ages.get(site.data_centre, 1e9)
         ]
         return pb.ExchangeReply(
             entries=entries,
@@ -157,7 +161,7 @@
 
     def summarise(self, request: pb.SummaryRequest) -> pb.SummaryReply:
         """
-        Answer another data centre's pull.
+        Answer a pull from another data centre with this data centre's summary.
         """
         now = boot_time()
         return pb.SummaryReply(
@@ -175,7 +179,7 @@
             config_offset=self._state.active_config.offset,
             at=now,
             pools=tuple(self._slots()),
-            peers=tuple(m.grpc_outside for m in live[:_SUMMARY_PEERS]),
+            peers=tuple(m.grpc_outside for m in live[:_MAX_SUMMARY_PEERS]),
             unusable=tuple(unusable),
         )
 
@@ -218,7 +222,7 @@
 
     async def _pull(self, address: str) -> bool:
         """
-        Pull from a peer; false if it gave no answer.
+        Pull from a peer; False if it did not respond.
         """
         request = self._pull_request()
         try:
@@ -229,7 +233,7 @@
         self._pushed_seq = self._seq
         self._metrics.exchanges.add(1, {"outcome": "answered"})
         self._count_bytes(request, reply)
-        self._take_reply(reply)
+        self._apply_reply(reply)
         return True
 
     def _pull_request(self) -> pb.ExchangeRequest:
@@ -248,18 +252,18 @@
             own=entry_to_wire(own, boot_time()) if renumbered else None,
         )
 
-    def _take_reply(self, reply: pb.ExchangeReply) -> None:
+    def _apply_reply(self, reply: pb.ExchangeReply) -> None:
         now = boot_time()
         for wire in reply.entries:
-            self._hear(entry_from_wire(wire, now), now)
+            self._offer_entry(entry_from_wire(wire, now), now)
         for site in reply.sites:
             self._state.members.offer_site(site_from_wire(site, now))
         self._state.note_leaving()
-        self._take_config(reply)
+        self._apply_config(reply)
 
-    def _hear(self, entry: MemberEntry, now: float) -> None:
-        # Nobody else knows better of this VM, and other data centres' VMs do not
-        # belong in this table.
+    def _offer_entry(self, entry: MemberEntry, now: float) -> None:
+        # Only this VM updates its own entry; VMs of other data centres are not members
+        # here.
         own = self._state.settings
         if entry.vm != own.vm and entry.data_centre == own.data_centre:
             self._state.members.offer(entry, now)
@@ -271,7 +275,7 @@
     async def _pull_summary(self, site: str) -> None:
         address = self._peer_of_site(site)
         if address is None:
-            self._ask_for_list()
+            self._request_vm_list()
             return
         request = pb.SummaryRequest(
             vm=self._state.settings.vm, config_offset=self._state.active_config.offset
@@ -280,13 +284,13 @@
             reply = await self._peers.summary(address, request, _TIMEOUT)
         except PeerUnavailableError:
             self._metrics.exchanges.add(1, {"outcome": "site_away"})
-            self._ask_for_list()
+            self._request_vm_list()
             return
         self._metrics.exchanges.add(1, {"outcome": "site_answered"})
         self._count_bytes(request, reply)
-        self._take_config(reply)
+        self._apply_config(reply)
         summary = site_from_wire(reply.site, boot_time())
-        # A wrong address must not pass for another data centre's.
+        # Ignores a summary of another data centre, received from a wrong address.
         if summary.data_centre == site:
             self._state.members.offer_site(summary)
 
@@ -304,7 +308,7 @@
         }
         return random.choice(sorted(known)) if known else None
 
-    def _take_config(self, reply: pb.ExchangeReply | pb.SummaryReply) -> None:
+    def _apply_config(self, reply: pb.ExchangeReply | pb.SummaryReply) -> None:
         if reply.HasField("config"):
             self._state.trace(ConfigReceived(reply.config.offset))
             self._state.offer_config(
--- a/packages/saddledoord/src/saddledoord/peers/server.py
+++ b/packages/saddledoord/src/saddledoord/peers/server.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Serves other daemons over gRPC; a caller without the peer secret is refused.
+gRPC server for other daemons; refuses callers without the peer secret.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from ..samples.collector import Collected, Collectors
 from ..wire import peer_pb2 as pb
 from ..wire.peer_pb2_grpc import PeerServicer, add_PeerServicer_to_server
-from .client import MAX_MESSAGE, SECRET_KEY
+from .client import MAX_MESSAGE_BYTES, SECRET_METADATA_KEY
 from .exchange import Exchange
 from .wire_types import answer_to_wire, part_to_wire, work_from_wire
 
 
 __all__ = ["PeerService", "start_peer_server"]
 
-#: Longest wait for another request's outcome, in seconds.
+#: Longest wait for the outcome of a key, in seconds.
 _MAX_OUTCOME_WAIT = 60.0
 
 IssuedCall = Callable[[pb.ServiceWork], Awaitable[object]]
@@ -44,7 +44,7 @@
         self._secret = secret.encode()
 
     async def intercept_service(self, continuation, details):
-        sent = dict(details.invocation_metadata).get(SECRET_KEY, "")
+        sent = dict(details.invocation_metadata).get(SECRET_METADATA_KEY, "")
         sent = sent if isinstance(sent, bytes) else sent.encode()
         if hmac.compare_digest(sent, self._secret):
             return await continuation(details)
@@ -57,7 +57,7 @@
 
 class PeerService(PeerServicer):
     """
-    The daemon's side of ``peer.proto``.
+    Implements the service of ``peer.proto``.
     """
 
     def __init__(
@@ -151,13 +151,13 @@
     service: PeerService, address: str, secret: str
 ) -> grpc.aio.Server:
     """
-    Start to serve peers.
+    Start the server for peers.
 
-    :raises OSError: If the address cannot be had.
+    :raises OSError: If the address cannot be bound.
     """
     options = [
-        ("grpc.max_receive_message_length", MAX_MESSAGE),
-        ("grpc.max_send_message_length", MAX_MESSAGE),
+        ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
+        ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
         ("grpc.so_reuseport", 0),
         ("grpc.max_metadata_size", 16_384),
     ]
--- a/packages/saddledoord/src/saddledoord/peers/vm_list.py
+++ b/packages/saddledoord/src/saddledoord/peers/vm_list.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Reads the platform's lagging list of VMs, and drops channels to those that are gone.
+Reads the platform's list of VMs and closes channels to removed VMs.
 """
 
 from __future__ import annotations
@@ -17,30 +17,32 @@
 
 __all__ = ["VmListReader"]
 
-#: Wait before the list of VMs is read again because nobody answered, in seconds.
-_LIST_RETRY = 2.0
+#: Delay before a requested refresh of the list, in seconds.
+_REFRESH_DELAY = 2.0
 
 
 class VmListReader:
     """
-    Keeps the list; it is read seldom, for it names every VM.
+    Refreshes the list of VMs at a long interval or on request.
+
+    The list names every VM and may lag behind; it only serves to find peers.
     """
 
     def __init__(self, state: NodeState, peers: PeerClient) -> None:
         self._state = state
         self._peers = peers
-        self._lonely = asyncio.Event()
+        self._refresh_requested = asyncio.Event()
         self._closing: asyncio.Task | None = None
 
     def ask(self) -> None:
         """
-        Read the list soon: somebody found no peer that answers.
+        Request an early refresh because no peer responded.
         """
-        self._lonely.set()
+        self._refresh_requested.set()
 
     async def run(self, session: aiohttp.ClientSession) -> None:
         """
-        Read the platform's lagging list of VMs; only a seed for whom to ask.
+        Refresh the list until cancelled.
         """
         settings = self._state.settings
         limit = aiohttp.ClientTimeout(total=settings.timings.log_timeout)
@@ -52,14 +54,14 @@
                     data = await response.json()
                     vms = {str(item["vm"]): item for item in data["vms"]}
                 self._state.vm_list = vms
-                self._forget_channels()
+                self._close_stale_channels()
             except (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError):
-                # The last list stays: a lost platform must not empty the fleet.
+                # Keeps the last list while the platform is unavailable.
                 pass
-            await self._until_list_is_due()
+            await self._wait_until_due()
 
-    def _forget_channels(self) -> None:
-        # VMs are replaced all day; a channel to one that is gone is never used again.
+    def _close_stale_channels(self) -> None:
+        # VMs are replaced often; a channel to a removed VM is never used again.
         if self._closing is not None and not self._closing.done():
             return
         known = {m.grpc for m in self._state.members.all_entries()}
@@ -68,13 +70,13 @@
             known |= {item["grpc"], item.get("grpc_outside", item["grpc"])}
         for site in self._state.members.sites(boot_time()):
             known |= set(site.peers)
-        self._closing = asyncio.create_task(self._peers.keep_only(known))
+        self._closing = asyncio.create_task(self._peers.close_channels_except(known))
 
-    async def _until_list_is_due(self) -> None:
-        self._lonely.clear()
+    async def _wait_until_due(self) -> None:
+        self._refresh_requested.clear()
         try:
             async with asyncio.timeout(self._state.settings.timings.vm_list):
-                await self._lonely.wait()
-                await asyncio.sleep(_LIST_RETRY)
+                await self._refresh_requested.wait()
+                await asyncio.sleep(_REFRESH_DELAY)
         except TimeoutError:
             pass
--- a/packages/saddledoord/src/saddledoord/peers/wire_types.py
+++ b/packages/saddledoord/src/saddledoord/peers/wire_types.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Between the library's types and the messages that peers send each other.
+Converts between the library's types and the messages between peers.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     "work_to_wire",
 ]
 
-#: How a part without a version is written.
+#: Wire value of a part without a version.
 _NO_VERSION = -1
 
 
@@ -50,9 +50,9 @@
     code: int, detail: str, retry_after: float
 ) -> NotRun | OutcomeUnknown:
     """
-    Return the tagged outcome of a numbered code.
+    Return the outcome of a result code.
 
-    A code that this release does not know must not read as "not run".
+    A code that this release does not know becomes `OutcomeUnknown`, never `NotRun`.
     """
     try:
         known = ResultCode(code)
@@ -83,7 +83,7 @@
     reply: pb.CallResult,
 ) -> CallAnswer | NotRun | OutcomeUnknown | None:
     """
-    Read a result; none if the peer does not know what it was asked about.
+    Decode a result; None if the peer does not know the request.
     """
     if reply.code == 0:
         return None
@@ -128,7 +128,7 @@
 
 def work_from_wire(work: pb.CompletionWork) -> CompletionJob:
     """
-    Read a sample's work; it is always training work and stays in this data centre.
+    Decode a completion; it is always training work and stays in this data centre.
     """
     return CompletionJob(
         attempt_id=work.attempt_id,
@@ -172,7 +172,7 @@
 
 def entry_from_wire(entry: pb.Entry, now: float) -> MemberEntry:
     """
-    Read an entry; ages become times of this node's own clock.
+    Decode an entry; ages become times of this VM's clock.
     """
     reports = tuple(
         BackendReport(
@@ -208,7 +208,7 @@
 
 def site_from_wire(site: pb.Site, now: float) -> SiteSummary:
     """
-    Read a summary; its age becomes a time of this node's own clock.
+    Decode a summary; its age becomes a time of this VM's clock.
     """
     return SiteSummary(
         data_centre=site.data_centre,
@@ -236,7 +236,7 @@
 
 def call_from_wire(work: pb.ServiceWork) -> ServiceJob:
     """
-    Read a call under an issued key; it is always unrepeatable.
+    Decode a call with an issued key; it is always unrepeatable.
     """
     return ServiceJob(
         request_id=work.request_id,
