--- a/packages/saddledoord/src/saddledoord/observability/burn_feed.py
+++ b/packages/saddledoord/src/saddledoord/observability/burn_feed.py
@@ -16,13 +16,13 @@
 
 __all__ = ["BURN_STREAM", "BurnFeed"]
 
-#: Stream of totals.
+#: Name of the log stream of totals.
 BURN_STREAM = "burn"
 
 
 class BurnFeed:
     """
-    This process's totals, and when they were last written.
+    Totals of this process and the totals that were last written.
     """
 
     def __init__(self, state: NodeState, log: LogClient) -> None:
@@ -35,33 +35,34 @@
         self, subject: str, pool: str, code: ResultCode, seconds: float
     ) -> None:
         """
-        Count a partner's request; its latency counts only if it was answered.
+        Record a partner's request; latency is recorded only for successful requests.
 
-        :param pool: The pool that served it, or empty.
+        :param pool: Name of the pool that served it, or empty.
+        :param seconds: Latency, in seconds.
         """
         refused = float(code is not ResultCode.DONE)
-        for who in (subject, f"pool:{pool}" if pool else ""):
-            if not who:
+        for target in (subject, f"pool:{pool}" if pool else ""):
+            if not target:
                 continue
-            self._observe("refusals", who, refused)
+            self._observe("refusals", target, refused)
             if not refused:
-                self._observe("latency", who, seconds)
+                self._observe("latency", target, seconds)
 
     def fetch(self, trainer: str, waited: float) -> None:
         """
-        Count a trainer's fetch by how long it waited, in seconds.
+        Record how long a trainer's fetch waited, in seconds.
         """
         self._observe("idle", f"trainer:{trainer}", waited)
 
     def sample(self, trainer: str, behind: int) -> None:
         """
-        Count a sample that is handed out, by the versions that it lies behind.
+        Record how many versions a delivered sample lags behind.
         """
         self._observe("freshness", f"trainer:{trainer}", behind)
 
     async def run(self) -> None:
         """
-        Write the totals again and again, if they changed.
+        Write the totals periodically if they changed.
         """
         while True:
             await asyncio.sleep(self._state.settings.timings.burn)
@@ -69,7 +70,9 @@
 
     async def write(self, *, final: bool) -> None:
         """
-        Write the totals; if the log is away, the next ones cover them.
+        Write the totals; if the log is unavailable, the next write includes them.
+
+        :param final: Whether this is the last write of the process.
         """
         totals = dict(self._meter.totals)
         if totals == self._written and not (final and totals):
--- a/packages/saddledoord/src/saddledoord/observability/daemon_metrics.py
+++ b/packages/saddledoord/src/saddledoord/observability/daemon_metrics.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Counters and gauges of the daemon, by OpenTelemetry in the Prometheus format.
+OpenTelemetry counters and gauges of the daemon, exported for Prometheus.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 class Metrics:
     """
-    Every instrument of the daemon, made once.
+    The daemon's metric instruments.
     """
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
 
     def gauge(self, name: str, read: Callable[[], float], description: str) -> None:
         """
-        Show a value that is read when the metrics are.
+        Add a gauge whose value is read on each export.
         """
 
         def observe(_: CallbackOptions) -> Iterable[Observation]:
@@ -68,6 +68,6 @@
 
     def render(self) -> bytes:
         """
-        Return the text that Prometheus reads.
+        Return the metrics in the Prometheus text format.
         """
         return generate_latest(REGISTRY)
--- a/packages/saddledoord/src/saddledoord/observability/gateway_metrics.py
+++ b/packages/saddledoord/src/saddledoord/observability/gateway_metrics.py
@@ -21,12 +21,11 @@
 
 class GatewayMetrics:
     """
-    Requests by route and result code, how long they took, the settings in force,
-    records of the store that could not be used, and standstills of the process.
+    The gateway's metric instruments.
 
     :param settings: Returns the version of the settings in force.
-    :param skipped: Returns counts of such records, by what they hold.
-    :param pause_count: Returns the count of those.
+    :param skipped: Returns the numbers of skipped store records, by kind of record.
+    :param pause_count: Returns the number of process pauses.
     """
 
     def __init__(
@@ -65,13 +64,13 @@
 
     def count(self, route: str, code: ResultCode, seconds: float) -> None:
         """
-        Count an ended request.
+        Count a completed request and record its duration, in seconds.
         """
         self._requests.add(1, {"route": route, "code": str(int(code))})
         self._seconds.record(seconds, {"route": route})
 
     def render(self) -> bytes:
         """
-        Return the text that Prometheus reads.
+        Return the metrics in the Prometheus text format.
         """
         return generate_latest(REGISTRY)
--- a/packages/saddledoord/src/saddledoord/observability/logs.py
+++ b/packages/saddledoord/src/saddledoord/observability/logs.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Structured logs on standard output: bounded by kind of event, never blocking.
+Structured logs on standard output: rate-limited by event and non-blocking.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 
 __all__ = ["BoundedEvents", "NonBlockingLines", "set_up_json_logs"]
 
-#: Lines of one kind that may come at once, a count.
+#: Lines of one event that may be written at once.
 _BURST = 200
-#: Lines of one kind a second after that; at 300 bytes a line and a dozen busy kinds a
-#: process stays under 2 MB in a minute.
+#: Lines of one event per second after a burst.
 _PER_SECOND = 8.0
 
 
 class BoundedEvents:
     """
-    A processor that drops lines of a kind that comes too often, and counts them.
+    Structlog processor that limits the rate of each event and counts dropped lines.
 
-    :param clock: Monotonic seconds.
+    :param burst: Lines of one event that may be written at once.
+    :param per_second: Lines of one event per second after a burst.
+    :param clock: Returns monotonic time, in seconds.
     """
 
     def __init__(
@@ -62,44 +63,44 @@
 
 class NonBlockingLines:
     """
-    Writes lines to a descriptor; what its reader does not take is dropped, counted.
+    Logger that drops and counts lines while its file descriptor would block.
     """
 
     def __init__(self, descriptor: int) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._rest = b""
-        self._lost = 0
+        self._pending = b""
+        self._dropped_lines = 0
 
     def msg(self, message: str) -> None:
         """
-        Write a line, or drop it if the reader lags.
+        Write a line, or drop it if the descriptor would block.
         """
         if not self._flush():
-            self._lost += 1
+            self._dropped_lines += 1
             return
         line = message.encode()
-        if self._lost:
-            line = line[:-1] + b', "lines_lost": %d}' % self._lost
-            self._lost = 0
-        self._rest = line + b"\n"
+        if self._dropped_lines:
+            line = line[:-1] + b', "lines_lost": %d}' % self._dropped_lines
+            self._dropped_lines = 0
+        self._pending = line + b"\n"
         self._flush()
 
     log = debug = info = warning = warn = error = critical = exception = fatal = msg
 
     def _flush(self) -> bool:
         """
-        Write on where a line was cut; true if nothing is left.
+        Write pending bytes; True if none remain.
         """
         try:
-            while self._rest:
-                written = os.write(self._descriptor, self._rest)
-                self._rest = self._rest[written:]
+            while self._pending:
+                written = os.write(self._descriptor, self._pending)
+                self._pending = self._pending[written:]
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody reads any more; there is nowhere left to say so.
-            self._rest = b""
+            # The reader is gone: the pending bytes are discarded.
+            self._pending = b""
         return True
 
 
--- a/packages/saddledoord/src/saddledoord/observability/tracing.py
+++ b/packages/saddledoord/src/saddledoord/observability/tracing.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Records a trace of what this process takes in and decides, if the settings ask for it.
+Writes a trace of this process's inputs and decisions if the settings enable it.
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 
 def open_trace(path: str | None, node: str) -> Emit:
     """
-    Return a function that records an event; without a path it does nothing.
+    Return a function that writes an event to the trace file.
 
-    :param node: The VM's name.
+    :param path: Path of the trace file; None disables tracing.
+    :param node: Name of the VM.
     """
     if path is None:
         return lambda event: None
-    # Line by line, so that a killed process leaves what it decided.
+    # Line-buffered, so that the trace survives a crash of the process.
     file = Path(path).open("a", buffering=1)  # noqa: SIM115
 
     def emit(event: Event) -> None:
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Which decisions of the library both daemons make with the same functions.
+Both daemons use the same functions of the library for the same decisions.
 """
 
 from __future__ import annotations
@@ -14,12 +14,11 @@
 import saddledoord
 
 
-_DAEMONS = Path(saddledoord.__file__).parent
-#: Where the program of the own deployment begins, and where the gateway does.
-_OWN, _GATEWAY = "_daemon.py", "gateway.py"
+_PACKAGE = Path(saddledoord.__file__).parent
+#: Entry modules of the daemon and of the gateway.
+_DAEMON, _GATEWAY = "_daemon.py", "gateway.py"
 
-#: What both reach, by subject. It grows as the daemons become one; a name goes only
-#: with the decision itself.
+#: Names of the library that both daemons import, by subject.
 _SHARED = {
     "leases": {
         "HeldLease",
@@ -40,49 +39,49 @@
     return [node for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)]
 
 
-def _module(path: Path, node: ast.ImportFrom) -> list[Path]:
+def _module_files(path: Path, node: ast.ImportFrom) -> list[Path]:
     """
-    Return the files of this package that a relative import may name.
+    Return the files of this package that a relative import may refer to.
     """
     folder = path.parents[node.level - 1]
     parts = node.module.split(".") if node.module else []
     base = folder.joinpath(*parts)
-    named = [base.with_suffix(".py")] if parts else []
-    inside = [base / f"{alias.name}.py" for alias in node.names]
-    found = [*named, base / "__init__.py", *inside]
-    return [candidate for candidate in found if candidate.is_file()]
+    module_files = [base.with_suffix(".py")] if parts else []
+    submodules = [base / f"{alias.name}.py" for alias in node.names]
+    files = [*module_files, base / "__init__.py", *submodules]
+    return [candidate for candidate in files if candidate.is_file()]
 
 
-def _reached(start: str) -> set[str]:
+def _imported_names(start: str) -> set[str]:
     """
-    Return the names of the library that a program's modules import, at any depth.
+    Return the names of the library that a module imports, directly or transitively.
     """
-    waiting, seen, names = [_DAEMONS / start], set(), set()
-    while waiting:
-        path = waiting.pop()
+    pending, seen, names = [_PACKAGE / start], set(), set()
+    while pending:
+        path = pending.pop()
         if path in seen:
             continue
         seen.add(path)
         for node in _imports(path):
             if node.level:
-                waiting += _module(path, node)
+                pending += _module_files(path, node)
             elif node.module == "saddledoor":
                 names |= {alias.name for alias in node.names}
     return names
 
 
 @pytest.mark.parametrize("subject", _SHARED)
-def test_a_decision_that_both_daemons_share_stays_shared(subject):
+def test_shared_decisions_use_the_same_functions(subject):
     """
-    Neither daemon gets a function of its own for what both take from the library.
+    Neither daemon replaces a shared function of the library by its own.
     """
-    assert _SHARED[subject] - _reached(_OWN) == set()
-    assert _SHARED[subject] - _reached(_GATEWAY) == set()
+    assert _SHARED[subject] - _imported_names(_DAEMON) == set()
+    assert _SHARED[subject] - _imported_names(_GATEWAY) == set()
 
 
-def test_what_has_become_shared_is_written_down():
+def test_names_that_both_daemons_import_are_listed():
     """
-    A name that both daemons come to import is listed, so that it stays shared.
+    Every name that both daemons import is listed in `_SHARED`.
     """
-    shared = _reached(_OWN) & _reached(_GATEWAY)
+    shared = _imported_names(_DAEMON) & _imported_names(_GATEWAY)
     assert shared == set().union(*_SHARED.values())
--- a/tests/test_structured_log.py
+++ b/tests/test_structured_log.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Logs stay bounded and never hold the process up.
+Log output is rate-limited and never blocks the process.
 """
 
 from __future__ import annotations
@@ -18,35 +18,35 @@
 from saddledoord.observability.logs import BoundedEvents, NonBlockingLines
 
 
-def test_a_flood_of_one_kind_is_cut_and_counted():
+def test_frequent_event_is_rate_limited_and_counted():
     """
-    Other kinds are not affected; the next line says how many were dropped.
+    Other events are not affected; the next line has the number of dropped lines.
     """
     now = [0.0]
     bounded = BoundedEvents(burst=3, per_second=1.0, clock=lambda: now[0])
-    taken = 0
+    accepted = 0
     for _ in range(10):
         try:
             bounded(None, "info", {"event": "flood"})
-            taken += 1
+            accepted += 1
         except structlog.DropEvent:
             pass
-    assert taken == 3
+    assert accepted == 3
     assert bounded(None, "info", {"event": "other"}) == {"event": "other"}
     now[0] = 1.0
     assert bounded(None, "info", {"event": "flood"})["dropped_before"] == 7
 
 
-def test_lines_that_nobody_reads_are_dropped_and_counted():
+def test_unread_lines_are_dropped_and_counted():
     """
-    Writing returns at once, and what is read later is whole lines.
+    Writing does not block, and the reader gets complete lines only.
     """
     reader, writer = os.pipe()
     lines = NonBlockingLines(writer)
-    began = time.monotonic()
+    started_at = time.monotonic()
     for number in range(5000):
         lines.msg(json.dumps({"number": number, "text": "x" * 200}))
-    assert time.monotonic() - began < 2.0
+    assert time.monotonic() - started_at < 2.0
     data = os.read(reader, 1 << 20)
     lines.msg('{"number": -1}')
     lines.msg('{"number": -2}')
@@ -57,9 +57,9 @@
 
 
 @pytest.mark.parametrize("read", [True, False])
-def test_a_process_whose_output_is_not_read_goes_on(read):
+def test_process_is_not_blocked_by_unread_output(read):
     """
-    It logs far more than a pipe holds and ends in time all the same.
+    A process that logs more than a pipe holds still exits in time.
     """
     code = (
         "import structlog\n"
