--- a/packages/saddledoord/src/saddledoord/backends/dispatch.py
+++ b/packages/saddledoord/src/saddledoord/backends/dispatch.py
@@ -119,7 +119,7 @@
 
     def waiting(self) -> int:
         """
-        Return the requests that wait, a count.
+        Return the number of waiting requests.
         """
         return sum(len(queue) for queue in self._queues.values())
 
