--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/swaps.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/swaps.py
@@ -9,7 +9,7 @@
 import signal
 import time
 
-from ..testbed import QUICK, Shape, Testbed, until
+from ..testbed import SHORT_TIMINGS, Shape, Testbed, until
 from ._table import print_table
 
 
@@ -31,7 +31,7 @@
             vms={"dc-a": 3},
             engines={"dc-a": _ENGINES},
             services={"dc-a": 1},
-            timings=QUICK,
+            timings=SHORT_TIMINGS,
         )
         with Testbed.open(shape) as bed:
             holder = until(lambda b=bed: _find_lease_holder(b))
--- a/packages/saddledoor-standins/src/saddledoor_standins/record.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/record.py
@@ -33,7 +33,7 @@
     encode_traced,
 )
 
-from .testbed import MODEL, QUICK, TRAINER, Shape, Testbed, until
+from .testbed import MODEL, SHORT_TIMINGS, TRAINER, Shape, Testbed, until
 from .trainer import TrainerPlan, run_trainer
 
 
@@ -47,7 +47,7 @@
     :returns: The trace's path.
     """
     scenario, promises, counted = SCENARIOS[name]
-    with Testbed.open(Shape(timings=QUICK, traced=True)) as bed:
+    with Testbed.open(Shape(timings=SHORT_TIMINGS, traced=True)) as bed:
         scenario(bed)
         events = bed.traced()
     path = folder / f"{name}.jsonl"
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
@@ -28,8 +28,8 @@
 from .testbed_document import (
     MODEL,
     PARTNERS,
-    QUICK,
     SERVICE,
+    SHORT_TIMINGS,
     TRAINER,
     Shape,
     digest,
@@ -38,7 +38,16 @@
 )
 
 
-__all__ = ["MODEL", "QUICK", "TRAINER", "Answer", "Shape", "Testbed", "digest", "until"]
+__all__ = [
+    "MODEL",
+    "SHORT_TIMINGS",
+    "TRAINER",
+    "Answer",
+    "Shape",
+    "Testbed",
+    "digest",
+    "until",
+]
 
 
 def until(condition: Callable[[], object], timeout: float = 15.0) -> object:
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed_document.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed_document.py
@@ -16,7 +16,7 @@
 __all__ = [
     "MODEL",
     "PARTNERS",
-    "QUICK",
+    "SHORT_TIMINGS",
     "SERVICE",
     "TRAINER",
     "Shape",
@@ -40,7 +40,7 @@
 
 
 #: Shortened durations for fast takeovers in tests, in seconds.
-QUICK = {
+SHORT_TIMINGS = {
     "lease_term": 2.0,
     "order_timeout": 0.9,
     "lame_duck": 1.0,
--- a/packages/saddledoord/src/saddledoord/_parts.py
+++ b/packages/saddledoord/src/saddledoord/_parts.py
@@ -13,8 +13,8 @@
 from ._settings import Settings
 from ._state import NodeState
 from .backends.budgets import RetryBudgets
-from .backends.client import Backends
-from .backends.control import Control
+from .backends.client import BackendClient
+from .backends.control import WeightController
 from .backends.dispatch import Dispatcher
 from .backends.watcher import Watcher
 from .filters.claim import KeyLedger
@@ -44,7 +44,7 @@
     The parts that a daemon runs and closes.
     """
 
-    backends: Backends
+    backends: BackendClient
     peers: PeerClient
     followers: tuple[StreamFollower, ...]
     keeper: LeaseKeeper
@@ -55,7 +55,7 @@
     claims: ClaimLog
     burn: BurnFeed
     collectors: Collectors
-    control: Control
+    control: WeightController
     in_flight: InFlight
     app: Callable
     peer_service: PeerService
@@ -69,7 +69,7 @@
             self.keeper.run(),
             self.control.run(),
             self.watcher.run(),
-            self.dispatcher.review(),
+            self.dispatcher.grant_free_slots(),
             self.claims.run_releases(),
             self.burn.run(),
             self.vm_list.run(self.backends.session),
@@ -94,7 +94,7 @@
     :param spawn: Runs a coroutine in the background.
     """
     metrics = Metrics()
-    backends = Backends.open()
+    backends = BackendClient.open()
     peers = PeerClient(settings.peer_secret)
     in_flight = InFlight(state.trace)
     budgets = RetryBudgets(state)
@@ -105,7 +105,9 @@
     dispatcher = Dispatcher(state)
     watcher = Watcher(state, backends)
     vm_list = VmListReader(state, peers)
-    exchange = Exchange(state, peers, watcher, metrics, keeper.names, vm_list.ask)
+    exchange = Exchange(
+        state, peers, watcher, metrics, keeper.names, vm_list.request_refresh
+    )
     claims = ClaimLog(log, state, metrics)
     ledger = KeyLedger()
     burn = BurnFeed(state, log)
@@ -128,7 +130,7 @@
         claims=claims,
         burn=burn,
         collectors=collectors,
-        control=Control(state, keeper, backends, log, metrics),
+        control=WeightController(state, keeper, backends, log, metrics),
         in_flight=in_flight,
         app=build_app(state, pipeline, collectors, metrics, burn, in_flight, status),
         peer_service=PeerService(
--- a/packages/saddledoord/src/saddledoord/_pipeline.py
+++ b/packages/saddledoord/src/saddledoord/_pipeline.py
@@ -28,7 +28,7 @@
 from ._clock import boot_time
 from ._state import NodeState
 from .backends.budgets import RetryBudgets
-from .backends.client import Backends, CallAnswer
+from .backends.client import BackendClient, CallAnswer
 from .backends.dispatch import Dispatcher
 from .filters.attempt import CompletionJob, attempt_completion
 from .filters.call import ServiceJob, attempt_call
@@ -75,7 +75,7 @@
         self,
         state: NodeState,
         dispatcher: Dispatcher,
-        backends: Backends,
+        backends: BackendClient,
         peers: PeerClient,
         claims: ClaimLog,
         ledger: KeyLedger,
--- a/packages/saddledoord/src/saddledoord/_settings.py
+++ b/packages/saddledoord/src/saddledoord/_settings.py
@@ -95,7 +95,7 @@
     timings: Timings = Timings()
 
     @property
-    def grpc_from_afar(self) -> str:
+    def external_grpc_address(self) -> str:
         """
         Peer address for daemons of other data centres.
         """
--- a/packages/saddledoord/src/saddledoord/_state.py
+++ b/packages/saddledoord/src/saddledoord/_state.py
@@ -104,7 +104,7 @@
         """
         Name of this process in records: incarnation and peer address.
         """
-        return f"{self.incarnation}@{self.settings.grpc_from_afar}"
+        return f"{self.incarnation}@{self.settings.external_grpc_address}"
 
     @classmethod
     def from_settings(cls, settings: Settings) -> NodeState:
--- a/packages/saddledoord/src/saddledoord/backends/client.py
+++ b/packages/saddledoord/src/saddledoord/backends/client.py
@@ -18,7 +18,7 @@
 
 
 __all__ = [
-    "Backends",
+    "BackendClient",
     "CallAnswer",
     "CompletionBrokenError",
     "LoadReading",
@@ -69,7 +69,7 @@
     staged: dict[str, int]
 
 
-class Backends:
+class BackendClient:
     """
     HTTP clients of backend servers.
 
@@ -84,7 +84,7 @@
         self._single_use = single_use
 
     @classmethod
-    def open(cls) -> Backends:
+    def open(cls) -> BackendClient:
         """
         Open the clients; requires a running event loop.
         """
--- a/packages/saddledoord/src/saddledoord/backends/control.py
+++ b/packages/saddledoord/src/saddledoord/backends/control.py
@@ -30,10 +30,10 @@
 from ..log.follower import CONFIG_STREAM
 from ..log.leases import LeaseKeeper
 from ..observability.daemon_metrics import Metrics
-from .client import Backends, LoadReading
+from .client import BackendClient, LoadReading
 
 
-__all__ = ["Control", "control_lease"]
+__all__ = ["WeightController", "control_lease_name"]
 
 _log = structlog.get_logger()
 
@@ -48,7 +48,7 @@
 _SNAPSHOT_INTERVAL = 600.0
 
 
-def control_lease(data_centre: str) -> str:
+def control_lease_name(data_centre: str) -> str:
     """
     Return the name of a data centre's control lease.
     """
@@ -70,7 +70,7 @@
     busy: bool = False
 
 
-class Control:
+class WeightController:
     """
     Control loop of every VM; only the lease holder sends orders.
     """
@@ -79,7 +79,7 @@
         self,
         state: NodeState,
         keeper: LeaseKeeper,
-        backends: Backends,
+        backends: BackendClient,
         log: LogClient,
         metrics: Metrics,
     ) -> None:
@@ -99,7 +99,7 @@
         """
         Claim the lease when it is free, and send orders while it is held.
         """
-        name = control_lease(self._state.data_centre)
+        name = control_lease_name(self._state.data_centre)
         while True:
             await asyncio.sleep(_POLL_INTERVAL)
             if self._state.stage != "serving":
--- a/packages/saddledoord/src/saddledoord/backends/dispatch.py
+++ b/packages/saddledoord/src/saddledoord/backends/dispatch.py
@@ -36,7 +36,7 @@
 from ..observability.tracing import Emit
 
 
-__all__ = ["Dispatcher", "Grant", "Wanted"]
+__all__ = ["Dispatcher", "Grant", "SlotRequest"]
 
 #: Interval of trying to grant slots to waiting requests, in seconds.
 _RECHECK_INTERVAL = 0.05
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class SlotRequest:
     """
     A request for a slot of a backend server.
 
@@ -82,7 +82,7 @@
 
 @dataclass
 class _Waiter:
-    wanted: Wanted
+    slot_request: SlotRequest
     future: asyncio.Future = field(repr=False)
 
 
@@ -123,27 +123,33 @@
         """
         return sum(len(queue) for queue in self._queues.values())
 
-    def note_failure(self, name: str) -> None:
+    def record_failure(self, name: str) -> None:
         """
         Record a failure of a backend server, which gets no new work during its backoff.
         """
         self._failed_at[name] = boot_time()
 
-    async def acquire(self, wanted: Wanted) -> Grant | NotRun:
+    async def acquire(self, slot_request: SlotRequest) -> Grant | NotRun:
         """
         Wait for a slot until the request's deadline.
         """
-        usable = self._usable_candidates(wanted)
+        usable = self._usable_candidates(slot_request)
         if not usable:
-            return NotRun(ResultCode.NO_BACKEND, f"no back end for {wanted.target}")
-        queue = self._queue(wanted.target)
+            return NotRun(
+                ResultCode.NO_BACKEND, f"no back end for {slot_request.target}"
+            )
+        queue = self._queue(slot_request.target)
         if not len(queue):
-            grant = self._try_grant(wanted)
+            grant = self._try_grant(slot_request)
             if grant is not None:
                 return grant
-        waiter = _Waiter(wanted, asyncio.get_running_loop().create_future())
+        waiter = _Waiter(slot_request, asyncio.get_running_loop().create_future())
         pushed = queue.push(
-            wanted.work, wanted.partner, wanted.cost, wanted.weight, waiter
+            slot_request.work,
+            slot_request.partner,
+            slot_request.cost,
+            slot_request.weight,
+            waiter,
         )
         if pushed.displaced is not None and not pushed.displaced.future.done():
             pushed.displaced.future.set_result(_overloaded())
@@ -152,7 +158,7 @@
         self._has_waiters.set()
         return await self._wait(waiter)
 
-    async def review(self) -> None:
+    async def grant_free_slots(self) -> None:
         """
         Grant slots that became free in another way than by a release.
         """
@@ -166,7 +172,7 @@
                 self._has_waiters.clear()
 
     async def _wait(self, waiter: _Waiter) -> Grant | NotRun:
-        limit = max(0.0, waiter.wanted.deadline - boot_time())
+        limit = max(0.0, waiter.slot_request.deadline - boot_time())
         try:
             return await asyncio.wait_for(waiter.future, limit)
         except TimeoutError:
@@ -192,19 +198,19 @@
         while (waiter := queue.pop(frozenset(blocked))) is not None:
             if waiter.future.done():
                 continue
-            grant = self._try_grant(waiter.wanted)
+            grant = self._try_grant(waiter.slot_request)
             if grant is None:
-                blocked[waiter.wanted.work] = waiter
+                blocked[waiter.slot_request.work] = waiter
             else:
                 waiter.future.set_result(grant)
         for work, waiter in blocked.items():
             # Its cost was charged when it was queued, so it returns to the front.
             queue.push_front(work, waiter)
 
-    def _try_grant(self, wanted: Wanted) -> Grant | None:
+    def _try_grant(self, slot_request: SlotRequest) -> Grant | None:
         candidates = [
             (member, candidate)
-            for member, candidate in self._usable_candidates(wanted)
+            for member, candidate in self._usable_candidates(slot_request)
             if self._has_free_slot(candidate)
         ]
         if not candidates:
@@ -212,7 +218,7 @@
         choose = self._policies[self._state.deployment.limits.choice]
         chosen = choose([candidate for _, candidate in candidates])
         member = next(m for m, c in candidates if c is chosen)
-        return self._grant(member, wanted.target)
+        return self._grant(member, slot_request.target)
 
     def _grant(self, member: Engine | Instance, target: str) -> Grant:
         self._in_flight[member.name] = self.in_flight(member.name) + 1
@@ -231,21 +237,21 @@
         return Grant(member.name, member.address, release)
 
     def _usable_candidates(
-        self, wanted: Wanted
+        self, slot_request: SlotRequest
     ) -> list[tuple[Engine | Instance, Candidate]]:
-        members = self._members(wanted.target)
+        members = self._members(slot_request.target)
         reports = self._state.members.reports()
         now = boot_time()
         local = self._state.data_centre
         local_members = [m for m in members if m.data_centre == local]
         remote_members = (
-            [] if wanted.local_only else self._usable_remote_members(members, now)
+            [] if slot_request.local_only else self._usable_remote_members(members, now)
         )
         for group in (local_members, remote_members):
             usable = [
                 (m, self._candidate(m, reports.get(m.name), now))
                 for m in group
-                if self._is_usable(m, wanted, reports.get(m.name), now)
+                if self._is_usable(m, slot_request, reports.get(m.name), now)
             ]
             if usable:
                 return usable
@@ -272,14 +278,16 @@
     def _is_usable(
         self,
         member: Engine | Instance,
-        wanted: Wanted,
+        slot_request: SlotRequest,
         report: BackendReport | None,
         now: float,
     ) -> bool:
-        if member.name in wanted.avoid:
+        if member.name in slot_request.avoid:
             return False
         failed_at = self._failed_at.get(member.name, -math.inf)
-        return is_eligible(member.state, report, wanted.requirement, now, failed_at)
+        return is_eligible(
+            member.state, report, slot_request.requirement, now, failed_at
+        )
 
     def _candidate(
         self, member: Engine | Instance, report: BackendReport | None, now: float
--- a/packages/saddledoord/src/saddledoord/backends/timely.py
+++ b/packages/saddledoord/src/saddledoord/backends/send_deadline.py
@@ -19,7 +19,7 @@
 from .._clock import boot_time
 
 
-__all__ = ["TimelyConnector", "TimelyRequest", "send"]
+__all__ = ["SendDeadlineConnector", "SendDeadlineRequest", "send"]
 
 #: Longest time from the decision to send a request until its first byte is written, in
 #: seconds.
@@ -33,7 +33,8 @@
     request: AbstractAsyncContextManager[aiohttp.ClientResponse], decided_at: float
 ) -> AsyncIterator[aiohttp.ClientResponse]:
     """
-    Send a request of a session that uses `TimelyRequest` and `TimelyConnector`.
+    Send a request of a session that uses `SendDeadlineRequest` and
+    `SendDeadlineConnector`.
 
     :param decided_at: Time of the decision to send it, on the clock of `boot_time`, in
         seconds. Applies to this request only.
@@ -47,7 +48,7 @@
         yield response
 
 
-class TimelyConnector(aiohttp.TCPConnector):
+class SendDeadlineConnector(aiohttp.TCPConnector):
     """
     Refuses a connection to a request whose decision is too old.
     """
@@ -70,7 +71,7 @@
         return connection
 
 
-class TimelyRequest(aiohttp.ClientRequest):
+class SendDeadlineRequest(aiohttp.ClientRequest):
     """
     Writes nothing of a request whose decision is too old.
 
--- a/packages/saddledoord/src/saddledoord/backends/sockets.py
+++ b/packages/saddledoord/src/saddledoord/backends/sockets.py
@@ -10,13 +10,13 @@
 import struct
 
 
-__all__ = ["resetting_socket"]
+__all__ = ["create_resetting_socket"]
 
 #: SO_LINGER value with a timeout of zero: closing resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-def resetting_socket(addr_info: tuple) -> socket.socket:
+def create_resetting_socket(addr_info: tuple) -> socket.socket:
     """
     Create a socket that discards unsent bytes when it is closed.
 
--- a/packages/saddledoord/src/saddledoord/backends/watcher.py
+++ b/packages/saddledoord/src/saddledoord/backends/watcher.py
@@ -14,16 +14,16 @@
 
 from .._clock import boot_time
 from .._state import NodeState
-from .client import Backends
+from .client import BackendClient
 
 
-__all__ = ["Watcher", "backends_here"]
+__all__ = ["Watcher", "local_backends"]
 
 #: Timeout of reading a backend server's load, in seconds.
 _READ_TIMEOUT = 1.0
 
 
-def backends_here(state: NodeState) -> list[Engine | Instance]:
+def local_backends(state: NodeState) -> list[Engine | Instance]:
     """
     Return the engines and service instances of this VM's data centre.
     """
@@ -43,7 +43,7 @@
     Reads the load of the backend servers that are assigned to this VM.
     """
 
-    def __init__(self, state: NodeState, backends: Backends) -> None:
+    def __init__(self, state: NodeState, backends: BackendClient) -> None:
         self._state = state
         self._backends = backends
         self._reports: dict[str, BackendReport] = {}
@@ -91,6 +91,6 @@
         live = self._state.live_vms()
         return [
             member
-            for member in backends_here(self._state)
+            for member in local_backends(self._state)
             if rendezvous(f"watch/{member.name}", live) == self._state.settings.vm
         ]
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -115,7 +115,7 @@
     ) -> None:
         self._wait = wait
         self._batch_delay = batch_delay
-        self._patience = answer_timeout
+        self._answer_timeout = answer_timeout
         self._log = log
         self._stream = stream
         self._apply = apply
@@ -197,7 +197,9 @@
             while self._synced_at < called_at:
                 try:
                     started_at = boot_time()
-                    self._apply_page(await self._read(0.0, self._patience), started_at)
+                    self._apply_page(
+                        await self._read(0.0, self._answer_timeout), started_at
+                    )
                 except StoreUnavailableError:
                     return False
         return True
@@ -218,7 +220,7 @@
             return await self._read(0.0, _REPLAY_ANSWER_TIMEOUT)
         if not self.is_store_reachable:
             return await self._read(0.0, _OUTAGE_ANSWER_TIMEOUT)
-        return await self._read(self._wait, self._patience)
+        return await self._read(self._wait, self._answer_timeout)
 
     async def _read(self, wait: float, answer_timeout: float) -> LogPage:
         started_at = boot_time()
--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -142,9 +142,10 @@
         lease = self.get(name)
         return lease is not None and not lease.released and lease.holder == self._holder
 
-    def mine(self) -> list[str]:
+    def held_lease_names(self) -> list[str]:
         """
-        Return the leases that this process holds, as far as the log has been read.
+        Return the names of the leases that this process holds, as far as the log has
+        been read.
         """
         return sorted(name for name in self._fold.leases if self.is_mine(name))
 
--- a/packages/saddledoord/src/saddledoord/cluster/work_shares.py
+++ b/packages/saddledoord/src/saddledoord/cluster/work_shares.py
@@ -103,7 +103,9 @@
         """
         self._stopped = True
         self._held = set()
-        names = [name for name in self._leases.mine() if name.startswith(_PREFIX)]
+        names = [
+            name for name in self._leases.held_lease_names() if name.startswith(_PREFIX)
+        ]
         if names:
             _log.info("shares_released", shares=names)
             await self._leases.release(names)
@@ -126,7 +128,9 @@
         now = boot_time()
         if now - self._renewed_at < _TERM / _RENEWALS:
             return
-        names = [name for name in self._leases.mine() if name.startswith(_PREFIX)]
+        names = [
+            name for name in self._leases.held_lease_names() if name.startswith(_PREFIX)
+        ]
         if names:
             self._renewed_at = now
             await self._leases.renew(names)
--- a/packages/saddledoord/src/saddledoord/filters/attempt.py
+++ b/packages/saddledoord/src/saddledoord/filters/attempt.py
@@ -21,8 +21,8 @@
     WorkClass,
 )
 
-from ..backends.client import Backends, CompletionBrokenError
-from ..backends.dispatch import Dispatcher, Grant, Wanted
+from ..backends.client import BackendClient, CompletionBrokenError
+from ..backends.dispatch import Dispatcher, Grant, SlotRequest
 from ..observability.daemon_metrics import Metrics
 
 
@@ -63,7 +63,7 @@
 async def attempt_completion(
     job: CompletionJob,
     dispatcher: Dispatcher,
-    backends: Backends,
+    backends: BackendClient,
     budget: RetryBudget,
     metrics: Metrics,
 ) -> AsyncIterator[Part | NotRun | OutcomeUnknown]:
@@ -87,7 +87,7 @@
             metrics.attempts.add(1, {"outcome": "done"})
             return
         metrics.attempts.add(1, {"outcome": "broken"})
-        dispatcher.note_failure(grant.name)
+        dispatcher.record_failure(grant.name)
         refusal = attempts.refuse_retry(budget)
         if refusal is not None:
             yield refusal
@@ -100,18 +100,18 @@
     answer: AnswerBuilder,
     dispatcher: Dispatcher,
 ) -> Grant | NotRun:
-    grant = await dispatcher.acquire(_wanted(job, attempts, answer))
+    grant = await dispatcher.acquire(_slot_request(job, attempts, answer))
     if isinstance(grant, NotRun) and attempts.avoid:
         # No other engine is available; those that failed may have recovered.
         attempts.avoid.clear()
-        grant = await dispatcher.acquire(_wanted(job, attempts, answer))
+        grant = await dispatcher.acquire(_slot_request(job, attempts, answer))
     return grant
 
 
 async def _one_attempt(
     job: CompletionJob,
     grant: Grant,
-    backends: Backends,
+    backends: BackendClient,
     attempts: Attempts,
     answer: AnswerBuilder,
 ) -> AsyncIterator[Part]:
@@ -137,8 +137,10 @@
     yield last
 
 
-def _wanted(job: CompletionJob, attempts: Attempts, answer: AnswerBuilder) -> Wanted:
-    return Wanted(
+def _slot_request(
+    job: CompletionJob, attempts: Attempts, answer: AnswerBuilder
+) -> SlotRequest:
+    return SlotRequest(
         target=job.pool,
         work=job.work,
         partner=job.partner,
--- a/packages/saddledoord/src/saddledoord/filters/call.py
+++ b/packages/saddledoord/src/saddledoord/filters/call.py
@@ -19,8 +19,8 @@
 from saddledoor.tracing import HandedOver
 
 from .._clock import boot_time
-from ..backends.client import Backends, CallAnswer
-from ..backends.dispatch import Dispatcher, Wanted
+from ..backends.client import BackendClient, CallAnswer
+from ..backends.dispatch import Dispatcher, SlotRequest
 from ..observability.daemon_metrics import Metrics
 
 
@@ -68,7 +68,7 @@
 async def attempt_call(
     job: ServiceJob,
     dispatcher: Dispatcher,
-    backends: Backends,
+    backends: BackendClient,
     budget: RetryBudget,
     metrics: Metrics,
 ) -> CallAnswer | NotRun | OutcomeUnknown:
@@ -81,7 +81,7 @@
     budget.record_first_attempt()
     attempts = Attempts(_MAX_ATTEMPTS, job.unrepeatable, ResultCode.OUTCOME_UNKNOWN)
     while True:
-        grant = await dispatcher.acquire(_wanted(job, frozenset(attempts.avoid)))
+        grant = await dispatcher.acquire(_slot_request(job, frozenset(attempts.avoid)))
         if isinstance(grant, NotRun):
             return attempts.give_up(grant)
         try:
@@ -108,7 +108,7 @@
         metrics.attempts.add(1, {"outcome": type(result).__name__})
         if isinstance(result, CallAnswer):
             return result
-        dispatcher.note_failure(grant.name)
+        dispatcher.record_failure(grant.name)
         handed_over = isinstance(result, OutcomeUnknown)
         attempts.failed(grant.name, handed_over, result.detail)
         refusal = attempts.refuse_retry(budget)
@@ -116,8 +116,8 @@
             return refusal
 
 
-def _wanted(job: ServiceJob, avoid: frozenset[str]) -> Wanted:
-    return Wanted(
+def _slot_request(job: ServiceJob, avoid: frozenset[str]) -> SlotRequest:
+    return SlotRequest(
         target=job.service,
         work=WorkClass.INTERACTIVE,
         partner=job.partner,
--- a/packages/saddledoord/src/saddledoord/peers/exchange.py
+++ b/packages/saddledoord/src/saddledoord/peers/exchange.py
@@ -134,7 +134,7 @@
             config_offset=self._state.active_config.offset,
             reports=self._watcher.reports(),
             leases=self._held_leases(),
-            grpc_outside=settings.grpc_from_afar,
+            grpc_outside=settings.external_grpc_address,
         )
 
     def answer(self, request: pb.ExchangeRequest) -> pb.ExchangeReply:
--- a/packages/saddledoord/src/saddledoord/peers/server.py
+++ b/packages/saddledoord/src/saddledoord/peers/server.py
@@ -16,7 +16,7 @@
 
 from .._state import NodeState
 from ..backends.budgets import RetryBudgets
-from ..backends.client import Backends
+from ..backends.client import BackendClient
 from ..backends.dispatch import Dispatcher
 from ..filters.attempt import attempt_completion
 from ..filters.claim import KeyLedger
@@ -68,7 +68,7 @@
         ledger: KeyLedger,
         collectors: Collectors,
         dispatcher: Dispatcher,
-        backends: Backends,
+        backends: BackendClient,
         budgets: RetryBudgets,
         in_flight: InFlight,
         metrics: Metrics,
--- a/packages/saddledoord/src/saddledoord/peers/vm_list.py
+++ b/packages/saddledoord/src/saddledoord/peers/vm_list.py
@@ -34,7 +34,7 @@
         self._refresh_requested = asyncio.Event()
         self._closing: asyncio.Task | None = None
 
-    def ask(self) -> None:
+    def request_refresh(self) -> None:
         """
         Request an early refresh because no peer responded.
         """
--- a/packages/saddledoord/src/saddledoord/samples/runner.py
+++ b/packages/saddledoord/src/saddledoord/samples/runner.py
@@ -27,9 +27,9 @@
 from .._clock import boot_time
 from .._state import NodeState
 from ..backends.budgets import RetryBudgets
-from ..backends.client import Backends
+from ..backends.client import BackendClient
 from ..backends.dispatch import Dispatcher
-from ..backends.watcher import backends_here
+from ..backends.watcher import local_backends
 from ..filters.attempt import CompletionJob, attempt_completion
 from ..filters.collect import collect_whole
 from ..observability.daemon_metrics import Metrics
@@ -74,7 +74,7 @@
         self,
         state: NodeState,
         dispatcher: Dispatcher,
-        backends: Backends,
+        backends: BackendClient,
         peers: PeerClient,
         budgets: RetryBudgets,
         metrics: Metrics,
@@ -101,7 +101,7 @@
         reports = self.state.members.reports()
         own_slots = sum(
             member.slots
-            for member in backends_here(self.state)
+            for member in local_backends(self.state)
             if member.state == "serving" and self._is_in_pool(pool, member.name)
             if (report := reports.get(member.name)) and report.alive
         )
--- a/tests/adapter/test_engine_report.py
+++ b/tests/adapter/test_engine_report.py
@@ -16,7 +16,7 @@
 from engine_documents import HOSTILE_BYTES, as_bytes, make_report
 from engines import EngineClient
 from saddledoor import EngineEntry
-from saddledoord.backends import timely
+from saddledoord.backends import send_deadline
 from saddledoord.ports import EngineState, VersionOrder
 
 
@@ -84,8 +84,8 @@
             try:
                 given = VersionOrder("model-a", 5, "edge-0", 1, 0, True)
                 assert await client.order(engine, given) == "taken"
-                later = timely.boot_time() + 3.0
-                with patch.object(timely, "boot_time", lambda: later):
+                later = send_deadline.boot_time() + 3.0
+                with patch.object(send_deadline, "boot_time", lambda: later):
                     return await client.state(engine)
             finally:
                 await client.close()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 
 from saddledoor_standins.testbed import Shape, Testbed
-from testbed_helpers import QUICK
+from testbed_helpers import SHORT_TIMINGS
 
 
 @pytest.fixture
@@ -18,5 +18,5 @@
     Return a test bed of two data centres with two VMs, an engine and a service
     instance each.
     """
-    with Testbed.open(Shape(timings=QUICK)) as bed:
+    with Testbed.open(Shape(timings=SHORT_TIMINGS)) as bed:
         yield bed
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from .guard import DAEMON, LIBRARY, LIVES, PLACEMENT, REGISTRY, REQUESTS, Guard
+from .guard import DAEMON, INCARNATIONS, LIBRARY, PLACEMENT, REGISTRY, REQUESTS, Guard
 
 
 __all__ = ["GUARDS"]
@@ -61,42 +61,42 @@
                 self.engine_tables.forget(incarnation)
 """,
         "            pass\n",
-        (LIVES, "place_at_the_life_before or also_if_its_entry or left_out"),
+        (INCARNATIONS, "place_at_the_life_before or also_if_its_entry or left_out"),
     ),
     Guard(
         "an engine's start time is part of the key",
         f"{LIBRARY}/_engine_directory.py",
         "return Incarnation(self.engine_id, self.started_at)",
         "return Incarnation(self.engine_id, None)",
-        (LIVES, "is_forgotten or loaded_again"),
+        (INCARNATIONS, "is_forgotten or loaded_again"),
     ),
     Guard(
         "requests in flight end with the engine's incarnation",
         f"{DAEMON}/cluster/engine_timeouts.py",
         "            timeout.reschedule(now)\n",
         "            pass\n",
-        (LIVES, "repeated_at_once or answer_at_once or leaves_an_engine"),
+        (INCARNATIONS, "repeated_at_once or answer_at_once or leaves_an_engine"),
     ),
     Guard(
         "a report of another incarnation is ignored",
         f"{DAEMON}/orders/weights.py",
         "if state is None or state.belongs_to(engine):",
         "if True:",
-        (LIVES, "another_life_is_not_credited"),
+        (INCARNATIONS, "another_life_is_not_credited"),
     ),
     Guard(
         "an entry of an earlier incarnation is ignored",
         f"{LIBRARY}/_engine_directory.py",
         "if is_outdated and engine_id not in self._outdated_ignored:",
         "if False:",
-        (LIVES, "earlier_life_is_passed_over"),
+        (INCARNATIONS, "earlier_life_is_passed_over"),
     ),
     Guard(
         "a wrong start time does not exclude an engine",
         f"{LIBRARY}/_engine_directory.py",
         "if is_outdated and engine_id not in self._outdated_ignored:",
         "if is_outdated:",
-        (LIVES, "shut_an_engine_out"),
+        (INCARNATIONS, "shut_an_engine_out"),
     ),
     Guard(
         "keep-alive connections are to one incarnation",
--- a/tests/guard_rows/guard.py
+++ b/tests/guard_rows/guard.py
@@ -10,7 +10,7 @@
 
 
 __all__ = [
-    "AGAIN",
+    "RETRIES",
     "ATTEMPTS",
     "CLOCK",
     "DAEMON",
@@ -26,7 +26,7 @@
     "KEYS",
     "LOG_FRESHNESS",
     "LIBRARY",
-    "LIVES",
+    "INCARNATIONS",
     "PASS",
     "PLACEMENT",
     "POOL",
@@ -36,7 +36,7 @@
     "SHARES",
     "PROCESS_PAUSES",
     "STOPS",
-    "TIMELY",
+    "SEND_DEADLINE",
     "UNREADABLE",
     "USAGE",
     "WATCH",
@@ -53,8 +53,8 @@
 PROOFS = "tests/test_proofs.py"
 DECISIONS = "tests/test_gateway_decisions.py"
 PASS = "tests/test_pass_through.py"
-AGAIN = "tests/adapter/test_edge_asks_again.py"
-TIMELY = "tests/test_timely.py"
+RETRIES = "tests/adapter/test_edge_asks_again.py"
+SEND_DEADLINE = "tests/test_send_deadline.py"
 PROCESS_PAUSES = "tests/adapter/test_edge_process_pauses.py"
 UNREADABLE = "tests/test_unreadable_records.py"
 LOG_FRESHNESS = "tests/test_log_freshness.py"
@@ -65,7 +65,7 @@
 PLACEMENT = "tests/test_item_placement.py"
 REGISTRY = "tests/adapter/test_registry.py"
 FOLLOW = "tests/test_follow.py"
-LIVES = "tests/test_engine_lives.py"
+INCARNATIONS = "tests/test_engine_lives.py"
 CRASH_FOLD = "tests/test_engine_crash_fold.py"
 CRASH_WATCH = "tests/test_engine_crash_watch.py"
 CRASHING = "tests/adapter/test_edge_crashing_requests.py"
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -17,7 +17,7 @@
     PASS,
     PROCESS_PAUSES,
     PROOFS,
-    TIMELY,
+    SEND_DEADLINE,
     UNREADABLE,
     Guard,
 )
@@ -56,24 +56,24 @@
     ),
     Guard(
         "a request with an outdated decision is not sent",
-        f"{DAEMON}/backends/timely.py",
+        f"{DAEMON}/backends/send_deadline.py",
         "        if _is_decision_too_old():\n",
         "        if False:\n",
-        (TIMELY, "long_ago"),
+        (SEND_DEADLINE, "long_ago"),
     ),
     Guard(
         "a decision's time applies to its own request only",
-        f"{DAEMON}/backends/timely.py",
+        f"{DAEMON}/backends/send_deadline.py",
         "_decided_at.reset(token)",
         "pass",
         ("tests/adapter/test_engine_report.py", "asked_later"),
     ),
     Guard(
         "no byte of an outdated request is written",
-        f"{DAEMON}/backends/timely.py",
+        f"{DAEMON}/backends/send_deadline.py",
         "if not _is_decision_too_old():",
         "if True:",
-        (TIMELY, "before_its_first_byte"),
+        (SEND_DEADLINE, "before_its_first_byte"),
     ),
     Guard(
         "a process pause is detected when it is queried",
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from .guard import (
-    AGAIN,
     ATTEMPTS,
     DAEMON,
     ITEMS,
@@ -16,6 +15,7 @@
     POOL,
     PROCESS_PAUSES,
     REQUESTS,
+    RETRIES,
     WEIGHTS,
     Guard,
 )
@@ -69,7 +69,7 @@
         f"{DAEMON}/serving/engine_choice.py",
         "return min(times, default=None)",
         "return None",
-        (AGAIN, "goes_again"),
+        (RETRIES, "goes_again"),
     ),
     Guard(
         "a request does not return to where it broke off",
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -18,7 +18,7 @@
 
 from saddledoor_standins.testbed import MODEL, until
 from testbed_helpers import (
-    QUICK,
+    SHORT_TIMINGS,
     answered_share,
 )
 
@@ -45,7 +45,7 @@
     assert bed.book("dc-a-vm1", "r1", "k1").code == 100
     owner = bed.process("dc-a-vm1")
     owner.signal(signal.SIGSTOP)
-    time.sleep(QUICK["lease_term"] * 1.2)
+    time.sleep(SHORT_TIMINGS["lease_term"] * 1.2)
     paused_answer = bed.book("dc-b-vm1", "r1", "k1", timeout=12.0)
     assert paused_answer.family == "unknown"
     owner.signal(signal.SIGCONT)
--- a/tests/test_failures_samples.py
+++ b/tests/test_failures_samples.py
@@ -15,7 +15,7 @@
 from saddledoor_standins.fleet import read_json
 from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
 from testbed_helpers import (
-    QUICK,
+    SHORT_TIMINGS,
     BackgroundTrainer,
     answered_share,
     assert_step_correct,
@@ -49,7 +49,7 @@
     updated again.
     """
     record_property("promise", "labels")
-    with Testbed.open(Shape(timings=QUICK, fenced=False)) as bed:
+    with Testbed.open(Shape(timings=SHORT_TIMINGS, fenced=False)) as bed:
         bed.publish_weights(2)
         until(lambda: bed.engine_versions() == {"engine-1": 2, "engine-2": 2})
         trainer = BackgroundTrainer(make_plan(bed, version=2, publish_at=2.0))
@@ -88,7 +88,7 @@
     victim = until(lambda: find_collector(bed))
     time.sleep(0.3)
     bed.process(victim).signal(signal.SIGSTOP)
-    time.sleep(QUICK["lease_term"] * 1.5)
+    time.sleep(SHORT_TIMINGS["lease_term"] * 1.5)
     bed.process(victim).signal(signal.SIGCONT)
     result = trainer.finish()
     assert_step_correct(result)
@@ -129,7 +129,7 @@
     Engines without fencing get no order of an old holder after one of its successor.
     """
     record_property("promise", "labels")
-    with Testbed.open(Shape(timings=QUICK, fenced=False)) as bed:
+    with Testbed.open(Shape(timings=SHORT_TIMINGS, fenced=False)) as bed:
         holder = until(lambda: _control_holder(bed, "dc-a"))
         bed.process(holder).signal(signal.SIGSTOP)
         bed.publish_weights(2)
--- a/tests/test_timely.py
+++ b/tests/test_send_deadline.py
@@ -14,8 +14,12 @@
 from aiohttp import web
 
 from saddledoord._clock import boot_time
-from saddledoord.backends import timely
-from saddledoord.backends.timely import TimelyConnector, TimelyRequest, send
+from saddledoord.backends import send_deadline
+from saddledoord.backends.send_deadline import (
+    SendDeadlineConnector,
+    SendDeadlineRequest,
+    send,
+)
 
 
 async def _send_requests(
@@ -41,9 +45,9 @@
     await site.start()
     url = f"http://127.0.0.1:{runner.addresses[0][1]}/"
     answered = []
-    connector = TimelyConnector()
+    connector = SendDeadlineConnector()
     async with aiohttp.ClientSession(
-        connector=connector, request_class=TimelyRequest
+        connector=connector, request_class=SendDeadlineRequest
     ) as session:
         for age in ages:
             sending = session.post(url, data=body or None)
@@ -71,7 +75,7 @@
     The pause follows the acquired connection; the next request is sent.
     """
     clock = iter([10.0, 13.8, 20.0, 20.0])
-    monkeypatch.setattr(timely, "boot_time", lambda: next(clock))
+    monkeypatch.setattr(send_deadline, "boot_time", lambda: next(clock))
     times = iter([10.0, 20.0])
     monkeypatch.setattr(sys.modules[__name__], "boot_time", lambda: next(times))
     answered, received = asyncio.run(_send_requests([0.0, 0.0], b"body"))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Closing a socket of `resetting_socket` discards undelivered data.
+Closing a socket of `create_resetting_socket` discards undelivered data.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import pytest
 
-from saddledoord.backends.sockets import resetting_socket
+from saddledoord.backends.sockets import create_resetting_socket
 
 
 def test_closing_discards_what_was_not_delivered():
@@ -19,7 +19,9 @@
     """
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
-        sock = resetting_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", address))
+        sock = create_resetting_socket(
+            (socket.AF_INET, socket.SOCK_STREAM, 0, "", address)
+        )
         sock.connect(address)
         peer, _ = server.accept()
         with peer:
@@ -34,7 +36,9 @@
     """
     with socket.create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
-        sock = resetting_socket((socket.AF_INET, socket.SOCK_STREAM, 0, "", address))
+        sock = create_resetting_socket(
+            (socket.AF_INET, socket.SOCK_STREAM, 0, "", address)
+        )
         sock.connect(address)
         sock.setblocking(False)
         peer, _ = server.accept()
--- a/tests/testbed_helpers.py
+++ b/tests/testbed_helpers.py
@@ -10,12 +10,12 @@
 import threading
 from concurrent.futures import ThreadPoolExecutor
 
-from saddledoor_standins.testbed import MODEL, QUICK, TRAINER, Testbed
+from saddledoor_standins.testbed import MODEL, SHORT_TIMINGS, TRAINER, Testbed
 from saddledoor_standins.trainer import TrainerPlan, run_trainer
 
 
 __all__ = [
-    "QUICK",
+    "SHORT_TIMINGS",
     "BackgroundTrainer",
     "assert_step_correct",
     "find_collector",
