--- a/packages/saddledoord/src/saddledoord/backends/client.py
+++ b/packages/saddledoord/src/saddledoord/backends/client.py
@@ -61,6 +61,10 @@
 class LoadReading:
     """
     Load and state that a backend server reports.
+
+    :param load: Number of running and waiting requests.
+    :param versions: Active weight version, by model.
+    :param staged: Weight version that is ready to be activated, by model.
     """
 
     load: float
@@ -73,8 +77,8 @@
     """
     HTTP clients of backend servers.
 
-    Unrepeatable calls use a new connection each and a client with `send_once`, since
-    aiohttp retries idempotent methods when a reused connection was closed.
+    Each unrepeatable call uses a new connection. `send_once` disables the retries of
+    aiohttp, which resends idempotent methods when a reused connection was closed.
     """
 
     def __init__(
--- a/packages/saddledoord/src/saddledoord/backends/control.py
+++ b/packages/saddledoord/src/saddledoord/backends/control.py
@@ -61,18 +61,20 @@
     What the lease holder knows of an engine.
 
     :param reading: The latest reading; None if there is none or it failed.
-    :param at: Time of the latest read attempt, in seconds of `boot_time`.
+    :param read_at: Time of the latest read attempt, in seconds of `boot_time`.
     :param busy: Whether an order to the engine is in flight.
     """
 
     reading: LoadReading | None = None
-    at: float = -1e9
+    read_at: float = -1e9
     busy: bool = False
 
 
 class WeightController:
     """
-    Control loop of every VM; only the lease holder sends orders.
+    Loop that updates the weights of this data centre's engines.
+
+    It runs on every VM; only the lease holder sends orders.
     """
 
     def __init__(
@@ -182,11 +184,11 @@
         if engine_state.busy:
             return False
         if engine_state.reading is None:
-            return boot_time() - engine_state.at > 1.0
+            return boot_time() - engine_state.read_at > 1.0
         report = self._state.members.reports().get(engine.name)
         if (
             report
-            and report.at > engine_state.at
+            and report.at > engine_state.read_at
             and report.versions != engine_state.reading.versions
         ):
             return True
@@ -197,11 +199,11 @@
                 and engine_state.reading.versions.get(model.name) != target
             ):
                 return True
-        return boot_time() - engine_state.at > _REREAD_INTERVAL
+        return boot_time() - engine_state.read_at > _REREAD_INTERVAL
 
     async def _read_engine(self, engine: Engine) -> None:
         engine_state = self._engine_states[engine.name]
-        engine_state.at = boot_time()
+        engine_state.read_at = boot_time()
         try:
             engine_state.reading = await self._backends.read_load(engine.address, 1.0)
         except (aiohttp.ClientError, TimeoutError, ValueError):
--- a/packages/saddledoord/src/saddledoord/backends/dispatch.py
+++ b/packages/saddledoord/src/saddledoord/backends/dispatch.py
@@ -107,7 +107,7 @@
     @property
     def trace(self) -> Emit:
         """
-        Record a trace event, for the attempts that use a granted slot.
+        Function that records a trace event, for attempts that use a granted slot.
         """
         return self._state.trace
 
@@ -160,7 +160,9 @@
 
     async def grant_free_slots(self) -> None:
         """
-        Grant slots that became free in another way than by a release.
+        Grant free slots to waiting requests periodically until cancelled.
+
+        A slot may become free without a release, for example by a new report.
         """
         while True:
             # Avoids wake-ups on an idle VM.
@@ -204,25 +206,26 @@
             else:
                 waiter.future.set_result(grant)
         for work, waiter in blocked.items():
-            # Its cost was charged when it was queued, so it returns to the front.
+            # A blocked request was charged its cost when it was queued, so it returns
+            # to the front.
             queue.push_front(work, waiter)
 
     def _try_grant(self, slot_request: SlotRequest) -> Grant | None:
         candidates = [
-            (member, candidate)
-            for member, candidate in self._usable_candidates(slot_request)
+            (backend, candidate)
+            for backend, candidate in self._usable_candidates(slot_request)
             if self._has_free_slot(candidate)
         ]
         if not candidates:
             return None
         choose = self._policies[self._state.deployment.limits.choice]
         chosen = choose([candidate for _, candidate in candidates])
-        member = next(m for m, c in candidates if c is chosen)
-        return self._grant(member, slot_request.target)
+        backend = next(m for m, c in candidates if c is chosen)
+        return self._grant(backend, slot_request.target)
 
-    def _grant(self, member: Engine | Instance, target: str) -> Grant:
-        self._in_flight[member.name] = self.in_flight(member.name) + 1
-        self._state.trace(SlotGranted(member.name))
+    def _grant(self, backend: Engine | Instance, target: str) -> Grant:
+        self._in_flight[backend.name] = self.in_flight(backend.name) + 1
+        self._state.trace(SlotGranted(backend.name))
         released = False
 
         def release() -> None:
@@ -230,24 +233,26 @@
             if released:
                 return
             released = True
-            self._in_flight[member.name] -= 1
+            self._in_flight[backend.name] -= 1
             if target in self._queues:
                 self._grant_to_waiters(target)
 
-        return Grant(member.name, member.address, release)
+        return Grant(backend.name, backend.address, release)
 
     def _usable_candidates(
         self, slot_request: SlotRequest
     ) -> list[tuple[Engine | Instance, Candidate]]:
-        members = self._members(slot_request.target)
+        backends = self._backends_of(slot_request.target)
         reports = self._state.members.reports()
         now = boot_time()
         local = self._state.data_centre
-        local_members = [m for m in members if m.data_centre == local]
-        remote_members = (
-            [] if slot_request.local_only else self._usable_remote_members(members, now)
+        local_backends = [m for m in backends if m.data_centre == local]
+        remote_backends = (
+            []
+            if slot_request.local_only
+            else self._usable_remote_backends(backends, now)
         )
-        for group in (local_members, remote_members):
+        for group in (local_backends, remote_backends):
             usable = [
                 (m, self._candidate(m, reports.get(m.name), now))
                 for m in group
@@ -257,15 +262,17 @@
                 return usable
         return []
 
-    def _usable_remote_members(
-        self, members: tuple[Engine | Instance, ...], now: float
+    def _usable_remote_backends(
+        self, backends: tuple[Engine | Instance, ...], now: float
     ) -> list[Engine | Instance]:
         sites = self._state.members.sites(now)
         unusable = {name for site in sites for name in site.unusable}
         local = self._state.data_centre
-        return [m for m in members if m.data_centre != local and m.name not in unusable]
+        return [
+            m for m in backends if m.data_centre != local and m.name not in unusable
+        ]
 
-    def _members(self, target: str) -> tuple[Engine | Instance, ...]:
+    def _backends_of(self, target: str) -> tuple[Engine | Instance, ...]:
         deployment = self._state.deployment
         if deployment is None:
             return ()
@@ -277,29 +284,29 @@
 
     def _is_usable(
         self,
-        member: Engine | Instance,
+        backend: Engine | Instance,
         slot_request: SlotRequest,
         report: BackendReport | None,
         now: float,
     ) -> bool:
-        if member.name in slot_request.avoid:
+        if backend.name in slot_request.avoid:
             return False
-        failed_at = self._failed_at.get(member.name, -math.inf)
+        failed_at = self._failed_at.get(backend.name, -math.inf)
         return is_eligible(
-            member.state, report, slot_request.requirement, now, failed_at
+            backend.state, report, slot_request.requirement, now, failed_at
         )
 
     def _candidate(
-        self, member: Engine | Instance, report: BackendReport | None, now: float
+        self, backend: Engine | Instance, report: BackendReport | None, now: float
     ) -> Candidate:
-        own = self.in_flight(member.name)
+        own = self.in_flight(backend.name)
         if report is None:
-            return Candidate(member.name, member.slots, own)
-        return Candidate(member.name, member.slots, own, report.load, now - report.at)
+            return Candidate(backend.name, backend.slots, own)
+        return Candidate(backend.name, backend.slots, own, report.load, now - report.at)
 
     def _has_free_slot(self, candidate: Candidate) -> bool:
         # An even share of the slots is reserved for this VM. Beyond it, the reported
-        # load of other VMs counts, decaying with the age of the report.
+        # load of other VMs counts, halved for each second of the report's age.
         vms = max(1, len(self._state.live_vms()))
         share = max(1, candidate.slots // vms)
         if candidate.own < share:
--- a/packages/saddledoord/src/saddledoord/backends/send_deadline.py
+++ b/packages/saddledoord/src/saddledoord/backends/send_deadline.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-HTTP client classes that drop a request whose decision to send it is too old.
+HTTP client classes that drop a request decided on too long ago.
 
 The process may be paused between the decision and the first byte, and the decision may
 no longer hold when it resumes. The client's connection timeout does not cover this: the
@@ -50,7 +50,7 @@
 
 class SendDeadlineConnector(aiohttp.TCPConnector):
     """
-    Refuses a connection to a request whose decision is too old.
+    Provides no connection to a request that was decided on too long ago.
     """
 
     async def connect(
@@ -62,7 +62,8 @@
         """
         Get a connection, as `aiohttp.TCPConnector.connect` does.
 
-        :raises TimeoutError: Also if the decision is too old; nothing was sent.
+        :raises TimeoutError: Also if the request was decided on too long ago; nothing
+            was sent.
         """
         connection = await super().connect(req, traces, timeout)
         if _is_decision_too_old():
@@ -73,7 +74,7 @@
 
 class SendDeadlineRequest(aiohttp.ClientRequest):
     """
-    Writes nothing of a request whose decision is too old.
+    Writes nothing of a request that was decided on too long ago.
 
     aiohttp writes the headers and the body in a separate task, which starts one event
     loop iteration after the connection was acquired; the process may be paused between
@@ -89,7 +90,7 @@
         """
         Write the request, as `aiohttp.ClientRequest.write_bytes` does.
 
-        If the decision is too old, waiting for the response raises
+        If it was decided on too long ago, waiting for the response raises
         `aiohttp.ConnectionTimeoutError`.
         """
         if not _is_decision_too_old():
--- a/packages/saddledoord/src/saddledoord/backends/send_once.py
+++ b/packages/saddledoord/src/saddledoord/backends/send_once.py
@@ -22,9 +22,9 @@
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """
-    Raise an error type that aiohttp does not retry.
+    Pass a request on, and replace the errors that make aiohttp resend it.
 
-    aiohttp resends idempotent methods after `ClientOSError` and
+    aiohttp resends requests of idempotent methods after `ClientOSError` and
     `ServerDisconnectedError`.
 
     :raises HandedOverError: In place of these two errors.
--- a/packages/saddledoord/src/saddledoord/backends/watcher.py
+++ b/packages/saddledoord/src/saddledoord/backends/watcher.py
@@ -30,12 +30,12 @@
     deployment = state.deployment
     if deployment is None:
         return []
-    members: list[Engine | Instance] = []
+    backends: list[Engine | Instance] = []
     for pool in deployment.pools:
-        members += [e for e in pool.engines if e.data_centre == state.data_centre]
+        backends += [e for e in pool.engines if e.data_centre == state.data_centre]
     for service in deployment.services:
-        members += [i for i in service.instances if i.data_centre == state.data_centre]
-    return members
+        backends += [i for i in service.instances if i.data_centre == state.data_centre]
+    return backends
 
 
 class Watcher:
@@ -60,29 +60,29 @@
         """
         while True:
             assigned = self._assigned_backends()
-            for name in set(self._reports) - {member.name for member in assigned}:
+            for name in set(self._reports) - {backend.name for backend in assigned}:
                 del self._reports[name]
-            await asyncio.gather(*(self.read(member) for member in assigned))
+            await asyncio.gather(*(self.read(backend) for backend in assigned))
             await asyncio.sleep(self._state.settings.timings.watch)
 
-    async def read(self, member: Engine | Instance) -> BackendReport:
+    async def read(self, backend: Engine | Instance) -> BackendReport:
         """
         Read one backend server now and store the report.
         """
         try:
-            reading = await self._backends.read_load(member.address, _READ_TIMEOUT)
+            reading = await self._backends.read_load(backend.address, _READ_TIMEOUT)
         except (aiohttp.ClientError, TimeoutError, ValueError):
-            report = BackendReport(member.name, False, 0.0, boot_time())
+            report = BackendReport(backend.name, False, 0.0, boot_time())
         else:
             report = BackendReport(
-                member.name,
+                backend.name,
                 True,
                 reading.load,
                 boot_time(),
                 reading.leaving,
                 reading.versions,
             )
-        self._reports[member.name] = report
+        self._reports[backend.name] = report
         if report.leaving:
             self._state.note_leaving()
         return report
@@ -90,7 +90,7 @@
     def _assigned_backends(self) -> list[Engine | Instance]:
         live = self._state.live_vms()
         return [
-            member
-            for member in local_backends(self._state)
-            if rendezvous(f"watch/{member.name}", live) == self._state.settings.vm
+            backend
+            for backend in local_backends(self._state)
+            if rendezvous(f"watch/{backend.name}", live) == self._state.settings.vm
         ]
