--- a/packages/saddledoord/src/saddledoord/filters/attempt.py
+++ b/packages/saddledoord/src/saddledoord/filters/attempt.py
@@ -39,10 +39,11 @@
     """
     A completion to run at an engine.
 
-    :param attempt_id: Unique id of this attempt to serve the request.
-    :param weight: Share of the slots of saturated backend servers, relative to others.
+    :param attempt_id: Unique id of the request; each attempt appends its number.
+    :param weight: Share of the slots of saturated backend servers, relative to other
+        partners' weights.
     :param max_tokens: Length of the answer, in tokens.
-    :param deadline: When to stop waiting for a slot, monotonic, in seconds.
+    :param deadline: When to stop waiting for a slot, in seconds of `boot_time`.
     :param min_version: Oldest weight version allowed; -1 allows all.
     :param local_only: Whether only engines of this data centre may run it.
     """
--- a/packages/saddledoord/src/saddledoord/filters/call.py
+++ b/packages/saddledoord/src/saddledoord/filters/call.py
@@ -35,11 +35,12 @@
     """
     A call to send to a plain service.
 
-    :param weight: Share of the slots of saturated backend servers, relative to others.
+    :param weight: Share of the slots of saturated backend servers, relative to other
+        partners' weights.
     :param target: Path and query.
     :param unrepeatable: Whether it may run at most once.
     :param key: The caller's idempotency key; empty if there is none.
-    :param deadline: When the caller times out, monotonic, in seconds.
+    :param deadline: When the caller times out, in seconds of `boot_time`.
     """
 
     request_id: str
--- a/packages/saddledoord/src/saddledoord/filters/claim.py
+++ b/packages/saddledoord/src/saddledoord/filters/claim.py
@@ -53,7 +53,7 @@
 
     def open(self, claim_id: str) -> asyncio.Future:
         """
-        Start a claim, and return the future of its outcome.
+        Register a claim, and return the future of its outcome.
         """
         future = asyncio.get_running_loop().create_future()
         self._outcomes[claim_id] = future
@@ -129,7 +129,7 @@
     peers: PeerClient,
 ) -> KeyClaim | None:
     # One writer per partition in a data centre batches claims into few appends. If
-    # nodes choose different writers there are more appends; the log's order still
+    # VMs choose different writers there are more appends; the log's order still
     # decides.
     writer = rendezvous(f"claims/{partition}", state.live_vms())
     member = state.members.entry(writer) if writer else None
--- a/packages/saddledoord/src/saddledoord/filters/collect.py
+++ b/packages/saddledoord/src/saddledoord/filters/collect.py
@@ -36,7 +36,9 @@
     trace: Emit,
 ) -> Answer | NotRun | OutcomeUnknown:
     """
-    Collect a stream; without an end marker the outcome is unknown.
+    Return the complete answer, or the failure that the stream ends with.
+
+    The outcome is unknown if the stream has no end marker.
     """
     traced: list[tuple[int, int]] = []
     builder = AnswerBuilder(max_tokens)
--- a/packages/saddledoord/src/saddledoord/filters/identify.py
+++ b/packages/saddledoord/src/saddledoord/filters/identify.py
@@ -22,7 +22,8 @@
     The sender of a request.
 
     :param name: The partner's name, or ``trainer:`` and the trainer's.
-    :param weight: Share of the slots of saturated backend servers, relative to others.
+    :param weight: Share of the slots of saturated backend servers, relative to other
+        partners' weights.
     :param trainer: The trainer; None if the caller is a partner.
     """
 
--- a/packages/saddledoord/src/saddledoord/log/__init__.py
+++ b/packages/saddledoord/src/saddledoord/log/__init__.py
@@ -2,4 +2,6 @@
 
 """
 Client of the log service, with followers, key claims and leases.
+
+A fold is the state that results from applying a stream's records in order.
 """
--- a/packages/saddledoord/src/saddledoord/log/claims.py
+++ b/packages/saddledoord/src/saddledoord/log/claims.py
@@ -39,7 +39,7 @@
 @dataclass
 class _PendingClaim:
     claim: KeyClaim
-    verdict: asyncio.Future
+    owner: asyncio.Future
 
 
 class _Partition:
@@ -66,7 +66,7 @@
         self._pending.append(pending)
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._commit_all())
-        return await pending.verdict
+        return await pending.owner
 
     async def release(self, record: ClaimRelease) -> None:
         """
@@ -88,7 +88,7 @@
         try:
             offset = await self._log.append(self._stream, [ClaimBatch(claims)])
         except LogUnavailableError:
-            # The log may have appended it all the same, which only a read shows.
+            # The append may still have succeeded; only a read of the log shows it.
             offset = -1
         try:
             await self._catch_up(offset)
@@ -103,6 +103,9 @@
             _resolve(pending, owner)
 
     async def _catch_up(self, offset: int) -> None:
+        """
+        Read up to the record at an offset; if it is -1, to the end of the stream.
+        """
         wait = 0.0
         while True:
             start = self._fold.next_offset if self._fold else 0
@@ -127,8 +130,8 @@
 
 
 def _resolve(pending: _PendingClaim, owner: KeyClaim | None) -> None:
-    if not pending.verdict.done():
-        pending.verdict.set_result(owner)
+    if not pending.owner.done():
+        pending.owner.set_result(owner)
 
 
 class ClaimLog:
@@ -148,7 +151,7 @@
         Return the claim that owns the key, or None if the log did not answer.
 
         In that case the claim may still take effect. Only its owner may release it,
-        since this node may have appended it for another node.
+        since this VM may have appended it for another VM.
         """
         owner = await self._partition(partition).claim(claim)
         if owner is None:
@@ -160,7 +163,9 @@
 
     def release_later(self, partition: int, record: ClaimRelease) -> None:
         """
-        Release a key as soon as the log is available.
+        Release a key once the log is available.
+
+        Does nothing if `_MAX_PENDING_RELEASES` releases are pending.
         """
         if len(self._pending_releases) < _MAX_PENDING_RELEASES:
             self._pending_releases[record.claim_id] = (partition, record)
--- a/packages/saddledoord/src/saddledoord/log/client.py
+++ b/packages/saddledoord/src/saddledoord/log/client.py
@@ -31,7 +31,7 @@
     """
     A record of a stream.
 
-    :param at: When it was appended, by the log's clock, in seconds.
+    :param at: When it was appended, by the log's clock, in seconds since 1970.
     :param record: None if it could not be decoded.
     """
 
@@ -45,7 +45,7 @@
     """
     The answer to a read.
 
-    :param first: Offset of the oldest record that is left.
+    :param first: Offset of the oldest record that the log still has.
     :param next_offset: Offset of the next read.
     """
 
--- a/packages/saddledoord/src/saddledoord/log/follower.py
+++ b/packages/saddledoord/src/saddledoord/log/follower.py
@@ -40,7 +40,7 @@
 
 #: Pause after a failed call to the log, in seconds.
 _RETRY_PAUSE = 0.3
-#: Delay per rank of a node before it appends a verdict on a proposal, in seconds.
+#: Delay per rank of a VM before it appends a verdict on a proposal, in seconds.
 _VERDICT_DELAY = 0.3
 
 
@@ -174,7 +174,7 @@
 
 async def _append_verdict(log: LogClient, state: NodeState, offset: int) -> None:
     """
-    Append a verdict, unless a node of a higher rank has appended one.
+    Append a verdict, unless another VM appends one first.
     """
     await asyncio.sleep(_verdict_rank(state, offset) * _VERDICT_DELAY)
     while offset in state.config_fold.pending:
@@ -187,6 +187,9 @@
 
 
 def _verdict_rank(state: NodeState, offset: int) -> int:
+    """
+    Return this VM's rank for a verdict; each data centre spans two ranks.
+    """
     key = f"verdict/{offset}"
     deployment = state.deployment
     sites = deployment.data_centres if deployment else (state.data_centre,)
--- a/packages/saddledoord/src/saddledoord/log/leases.py
+++ b/packages/saddledoord/src/saddledoord/log/leases.py
@@ -24,7 +24,7 @@
 
 #: Renewals per term.
 _RENEWALS = 3
-#: How often the log is read while a released lease has no new holder, in seconds.
+#: Interval of reading the log while a released lease has no new holder, in seconds.
 _TAKEOVER_POLL = 0.05
 
 
@@ -40,9 +40,12 @@
         self._state = state
         self._follower = follower
         self._held: dict[str, HeldLease] = {}
-        self._claiming: dict[str, asyncio.Lock] = {}
+        self._claim_locks: dict[str, asyncio.Lock] = {}
 
     def names(self) -> tuple[str, ...]:
+        """
+        Return the names of the leases that this process holds.
+        """
         return tuple(sorted(self._held))
 
     def held(self, name: str) -> HeldLease | None:
@@ -81,7 +84,7 @@
         """
         Try to claim a lease; return it if this process holds it.
         """
-        lock = self._claiming.setdefault(name, asyncio.Lock())
+        lock = self._claim_locks.setdefault(name, asyncio.Lock())
         async with lock:
             held = self.held(name)
             if held is not None or not self.may_claim(name):
