--- a/packages/saddledoord/src/saddledoord/http/app.py
+++ b/packages/saddledoord/src/saddledoord/http/app.py
@@ -24,9 +24,9 @@
 from .bodies import (
     JSON,
     completion_media,
+    encode_event,
     encode_refusal,
     error_body,
-    event,
     part_media,
     read_body,
 )
@@ -103,7 +103,7 @@
         pool = self._state.pool_of_model(model) if model else None
         seconds = boot_time() - req.context.started_at
         code = getattr(resp.context, "code", ResultCode.DONE)
-        self._burn.request(caller.name, pool.name if pool else "", code, seconds)
+        self._burn.record_request(caller.name, pool.name if pool else "", code, seconds)
 
     def _refuse(self, resp, kind: str, outcome: NotRun | OutcomeUnknown) -> None:
         self._count_outcome(kind, outcome.code)
@@ -130,12 +130,14 @@
             return self._refuse(resp, "completion", parts)
         if body.stream:
             return await self._stream(req, resp, parts)
-        whole = await collect_whole(parts, body.max_tokens, "caller", self._state.trace)
-        if isinstance(whole, Answer):
+        answer = await collect_whole(
+            parts, body.max_tokens, "caller", self._state.trace
+        )
+        if isinstance(answer, Answer):
             self._count_outcome("completion", ResultCode.DONE)
-            resp.media = completion_media(whole, body.model)
+            resp.media = completion_media(answer, body.model)
         else:
-            self._refuse(resp, "completion", whole)
+            self._refuse(resp, "completion", answer)
         return self._record_burn(req, resp, caller, body.model)
 
     async def _stream(self, req, resp, parts: AsyncIterator) -> None:
@@ -150,7 +152,7 @@
         try:
             part = first
             while isinstance(part, Part):
-                yield event(part_media(part))
+                yield encode_event(part_media(part))
                 if part.finish_reason is not None:
                     self._count_outcome("completion", ResultCode.DONE)
                     yield b"data: [DONE]\n\n"
@@ -158,7 +160,7 @@
                 part = await anext(parts)
             # The answer is incomplete: send an error event in place of the end marker.
             self._count_outcome("completion", part.code)
-            yield event({"error": error_body(part)})
+            yield encode_event({"error": error_body(part)})
         finally:
             await parts.aclose()
 
--- a/packages/saddledoord/src/saddledoord/http/bodies.py
+++ b/packages/saddledoord/src/saddledoord/http/bodies.py
@@ -17,9 +17,9 @@
 
 __all__ = [
     "completion_media",
+    "encode_event",
     "encode_refusal",
     "error_body",
-    "event",
     "part_media",
     "read_body",
 ]
@@ -31,6 +31,9 @@
 
 
 def encode_refusal(resp, outcome: NotRun | OutcomeUnknown) -> None:
+    """
+    Write a refusal to the response.
+    """
     resp.status = outcome.code.http_status
     resp.content_type = JSON
     resp.text = json.dumps({"error": error_body(outcome)})
@@ -41,6 +44,9 @@
 
 
 def error_body(outcome: NotRun | OutcomeUnknown) -> dict[str, object]:
+    """
+    Return the error object of a refusal.
+    """
     body: dict[str, object] = {
         "code": int(outcome.code),
         "name": outcome.code.name.lower(),
@@ -53,6 +59,9 @@
 
 
 async def read_body(req, state: NodeState, max_bytes: int) -> bytes | NotRun:
+    """
+    Read a request body; return a refusal if it is too large or too slow.
+    """
     deployment = state.deployment
     timeout = deployment.limits.body_timeout_s if deployment else _DEFAULT_BODY_TIMEOUT
     if (req.content_length or 0) > max_bytes:
@@ -68,20 +77,26 @@
     return body
 
 
-def completion_media(whole: Answer, model: str) -> dict[str, object]:
+def completion_media(answer: Answer, model: str) -> dict[str, object]:
+    """
+    Return the response body of a completion.
+    """
     return {
         "object": "text_completion",
         "created": int(time.time()),
         "model": model,
         "choices": [
-            {"index": 0, "text": whole.text, "finish_reason": whole.finish_reason}
+            {"index": 0, "text": answer.text, "finish_reason": answer.finish_reason}
         ],
-        "usage": {"completion_tokens": whole.tokens},
-        "weight_versions": [[r.version, r.first, r.last] for r in whole.runs],
+        "usage": {"completion_tokens": answer.tokens},
+        "weight_versions": [[r.version, r.first, r.last] for r in answer.runs],
     }
 
 
 def part_media(part: Part) -> dict[str, object]:
+    """
+    Return the data of one event of a streamed completion.
+    """
     return {
         "choices": [
             {"index": 0, "text": part.text, "finish_reason": part.finish_reason}
@@ -91,5 +106,8 @@
     }
 
 
-def event(data: dict[str, object]) -> bytes:
+def encode_event(data: dict[str, object]) -> bytes:
+    """
+    Encode a server-sent event.
+    """
     return f"data: {json.dumps(data)}\n\n".encode()
--- a/packages/saddledoord/src/saddledoord/http/server.py
+++ b/packages/saddledoord/src/saddledoord/http/server.py
@@ -42,7 +42,7 @@
 
     @contextlib.contextmanager
     def capture_signals(self):
-        # The daemon handles signals itself: a planned stop takes further steps.
+        # The process handles signals itself: a planned stop takes further steps.
         yield
 
     async def main_loop(self) -> None:
@@ -52,13 +52,13 @@
 
 
 def server_config(
-    app, keep_alive: float, max_headers: int = _MAX_HEADER_BYTES
+    app, keep_alive: float, max_header_bytes: int = _MAX_HEADER_BYTES
 ) -> uvicorn.Config:
     """
     Return the Uvicorn configuration of an application.
 
     :param keep_alive: Timeout of idle connections, in seconds.
-    :param max_headers: Largest header block, in bytes.
+    :param max_header_bytes: Largest header block, in bytes.
     """
     return uvicorn.Config(
         app,
@@ -68,7 +68,7 @@
         log_config=None,
         access_log=False,
         timeout_keep_alive=keep_alive,
-        h11_max_incomplete_event_size=max_headers,
+        h11_max_incomplete_event_size=max_header_bytes,
         server_header=False,
         date_header=False,
     )
--- a/packages/saddledoord/src/saddledoord/observability/burn_feed.py
+++ b/packages/saddledoord/src/saddledoord/observability/burn_feed.py
@@ -1,7 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-Counts events for the burn report and writes the totals to the log.
+Counts events for the burn report, which shows how fast error budgets are used up,
+and writes the totals to the log.
 """
 
 from __future__ import annotations
@@ -31,30 +32,30 @@
         self._meter = BurnMeter()
         self._written: dict[str, tuple[int, int]] = {}
 
-    def request(
+    def record_request(
         self, subject: str, pool: str, code: ResultCode, seconds: float
     ) -> None:
         """
-        Record a partner's request; latency is recorded only for successful requests.
+        Record a caller's request; latency is recorded only for successful requests.
 
         :param pool: Name of the pool that served it, or empty.
         :param seconds: Latency, in seconds.
         """
         refused = float(code is not ResultCode.DONE)
-        for target in (subject, f"pool:{pool}" if pool else ""):
-            if not target:
+        for name in (subject, f"pool:{pool}" if pool else ""):
+            if not name:
                 continue
-            self._observe("refusals", target, refused)
+            self._observe("refusals", name, refused)
             if not refused:
-                self._observe("latency", target, seconds)
+                self._observe("latency", name, seconds)
 
-    def fetch(self, trainer: str, waited: float) -> None:
+    def record_fetch(self, trainer: str, waited: float) -> None:
         """
         Record how long a trainer's fetch waited, in seconds.
         """
         self._observe("idle", f"trainer:{trainer}", waited)
 
-    def sample(self, trainer: str, behind: int) -> None:
+    def record_sample(self, trainer: str, behind: int) -> None:
         """
         Record how many versions a delivered sample lags behind.
         """
--- a/packages/saddledoord/src/saddledoord/peers/client.py
+++ b/packages/saddledoord/src/saddledoord/peers/client.py
@@ -153,6 +153,9 @@
     ) -> AsyncIterator[Part | NotRun | OutcomeUnknown]:
         """
         Run a completion on an engine of the peer's data centre.
+
+        :param timeout: Longest wait for a slot there, in seconds; the stream itself has
+            no timeout.
         """
         work = work_to_wire(job, timeout)
         try:
--- a/packages/saddledoord/src/saddledoord/peers/exchange.py
+++ b/packages/saddledoord/src/saddledoord/peers/exchange.py
@@ -2,6 +2,8 @@
 
 """
 Membership gossip: pulls member entries of this data centre and others' summaries.
+
+In names, a site is a data centre.
 """
 
 from __future__ import annotations
@@ -159,7 +161,7 @@
             sites=sites,
         )
 
-    def summarise(self, request: pb.SummaryRequest) -> pb.SummaryReply:
+    def answer_summary(self, request: pb.SummaryRequest) -> pb.SummaryReply:
         """
         Answer a pull from another data centre with this data centre's summary.
         """
@@ -222,7 +224,7 @@
 
     async def _pull(self, address: str) -> bool:
         """
-        Pull from a peer; False if it did not respond.
+        Pull from a peer; return False if it did not respond.
         """
         request = self._pull_request()
         try:
@@ -243,19 +245,20 @@
             for vm, rank in state.members.ranks().items()
         ]
         own = state.members.entry(state.settings.vm)
-        renumbered = own is not None and self._seq != self._pushed_seq
+        # The own entry is sent only if it was renewed since the last answered pull.
+        renewed = own is not None and self._seq != self._pushed_seq
         return pb.ExchangeRequest(
             vm=state.settings.vm,
             ranks=ranks,
             config_offset=state.active_config.offset,
             site_ages=self._site_ages(),
-            own=entry_to_wire(own, boot_time()) if renumbered else None,
+            own=entry_to_wire(own, boot_time()) if renewed else None,
         )
 
     def _apply_reply(self, reply: pb.ExchangeReply) -> None:
         now = boot_time()
-        for wire in reply.entries:
-            self._offer_entry(entry_from_wire(wire, now), now)
+        for encoded in reply.entries:
+            self._offer_entry(entry_from_wire(encoded, now), now)
         for site in reply.sites:
             self._state.members.offer_site(site_from_wire(site, now))
         self._state.note_leaving()
--- a/packages/saddledoord/src/saddledoord/peers/server.py
+++ b/packages/saddledoord/src/saddledoord/peers/server.py
@@ -23,7 +23,7 @@
 from ..http.in_flight import InFlight
 from ..log.claims import ClaimLog
 from ..observability.daemon_metrics import Metrics
-from ..samples.collector import Collected, Collectors
+from ..samples.collector import Collectors, OperationAnswer
 from ..wire import peer_pb2 as pb
 from ..wire.peer_pb2_grpc import PeerServicer, add_PeerServicer_to_server
 from .client import MAX_MESSAGE_BYTES, SECRET_METADATA_KEY
@@ -36,7 +36,8 @@
 #: Longest wait for the outcome of a key, in seconds.
 _MAX_OUTCOME_WAIT = 60.0
 
-IssuedCall = Callable[[pb.ServiceWork], Awaitable[object]]
+#: Runs a call whose key this VM issued.
+RunIssuedCall = Callable[[pb.ServiceWork], Awaitable[object]]
 
 
 class _SecretCheck(grpc.aio.ServerInterceptor):
@@ -72,7 +73,7 @@
         budgets: RetryBudgets,
         in_flight: InFlight,
         metrics: Metrics,
-        run_issued: IssuedCall,
+        run_issued: RunIssuedCall,
     ) -> None:
         self._budgets = budgets
         self._in_flight = in_flight
@@ -91,7 +92,7 @@
         return self._exchange.answer(request)
 
     async def Summary(self, request, context):
-        return self._exchange.summarise(request)
+        return self._exchange.answer_summary(request)
 
     async def Claim(self, request, context):
         claim = KeyClaim(request.key, request.claim_id, request.owner)
@@ -130,7 +131,7 @@
         result = await self._collectors.serve_here(
             request.trainer, request.operation, request.step, request.payload
         )
-        if isinstance(result, Collected):
+        if isinstance(result, OperationAnswer):
             return pb.CollectReply(code=ResultCode.DONE, payload=result.payload)
         return pb.CollectReply(
             code=result.code, detail=result.detail, retry_after=result.retry_after
--- a/packages/saddledoord/src/saddledoord/samples/collector.py
+++ b/packages/saddledoord/src/saddledoord/samples/collector.py
@@ -39,7 +39,7 @@
 from .runner import SampleRunner, StepRun
 
 
-__all__ = ["Collected", "Collectors", "collector_lease"]
+__all__ = ["OperationAnswer", "Collectors", "collector_lease"]
 
 _log = structlog.get_logger()
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Collected:
+class OperationAnswer:
     """
     The answer to a trainer's operation, as JSON.
     """
@@ -88,12 +88,12 @@
         self._peers = peers
         self._runner = runner
         self._metrics = metrics
-        self._runs: dict[tuple[str, int], StepRun] = {}
+        self._step_runs: dict[tuple[str, int], StepRun] = {}
         self._inherited: dict[tuple[str, int], list[Sample]] = {}
 
     async def serve(
         self, trainer: Trainer, operation: str, step: int, payload: bytes
-    ) -> Collected | NotRun:
+    ) -> OperationAnswer | NotRun:
         """
         Serve an operation that a trainer sent to this VM.
 
@@ -115,7 +115,7 @@
 
     async def serve_here(
         self, trainer_name: str, operation: str, step: int, payload: bytes
-    ) -> Collected | NotRun:
+    ) -> OperationAnswer | NotRun:
         """
         Serve an operation as the collector.
         """
@@ -151,16 +151,19 @@
 
     async def hand_over(self, address: str | None) -> list[str]:
         """
-        Send finished samples to a peer; called once when this VM stops.
+        Cancel all steps and send their finished samples to a peer; called once when
+        this VM stops.
 
         :param address: The peer's address; None if there is no peer.
         :returns: Names of the leases that the peer is about to claim.
         """
         leases: list[str] = []
-        for (trainer, step), run in self._runs.items():
-            await run.stop()
-            samples = json.dumps([_sample_to_json(s) for s in run.book.ready.values()])
-            if address is None or run.book.complete:
+        for (trainer, step), step_run in self._step_runs.items():
+            await step_run.stop()
+            samples = json.dumps(
+                [_sample_to_json(s) for s in step_run.delivery.ready.values()]
+            )
+            if address is None or step_run.delivery.complete:
                 continue
             request = pb.HandOverRequest(
                 trainer=trainer, step=step, samples=samples.encode()
@@ -177,7 +180,9 @@
         """
         Start no more samples, and wait for those in flight.
         """
-        await asyncio.gather(*(run.drain() for run in self._runs.values()))
+        await asyncio.gather(
+            *(step_run.drain() for step_run in self._step_runs.values())
+        )
 
     def steps(self) -> list[dict[str, object]]:
         """
@@ -187,16 +192,16 @@
             {
                 "trainer": trainer,
                 "step": step,
-                "samples": len(run.book.specs),
-                "received": len(run.book.received),
-                "ready": len(run.book.ready),
+                "samples": len(step_run.delivery.specs),
+                "received": len(step_run.delivery.received),
+                "ready": len(step_run.delivery.ready),
             }
-            for (trainer, step), run in self._runs.items()
+            for (trainer, step), step_run in self._step_runs.items()
         ]
 
     async def _forward(
         self, address: str, trainer: Trainer, operation: str, step: int, payload: bytes
-    ) -> Collected | NotRun:
+    ) -> OperationAnswer | NotRun:
         request = pb.CollectRequest(
             trainer=trainer.name, operation=operation, step=step, payload=payload
         )
@@ -209,7 +214,7 @@
             # run and the caller repeats the operation.
             return NotRun(ResultCode.NO_COLLECTOR, str(error), 0.3)
         if reply.code == ResultCode.DONE:
-            return Collected(reply.payload)
+            return OperationAnswer(reply.payload)
         outcome = outcome_from_code(reply.code, reply.detail, reply.retry_after)
         if isinstance(outcome, NotRun):
             return outcome
@@ -217,42 +222,54 @@
 
     def _submit(
         self, held: HeldLease, trainer: Trainer, step: int, body: StepBody
-    ) -> Collected | NotRun:
+    ) -> OperationAnswer | NotRun:
         key = (trainer.name, step)
-        before = self._runs.get(key)
-        earlier = before.book if before and before.book.fence == held.fence else None
-        book = StepDelivery.open(
+        known_run = self._step_runs.get(key)
+        earlier_delivery = (
+            known_run.delivery
+            if known_run and known_run.delivery.fence == held.fence
+            else None
+        )
+        delivery = StepDelivery.open(
             held.fence,
             trainer.staleness_bound,
             [sample.spec for sample in body.samples],
             [Slot(group, index) for group, index in body.received],
-            before=earlier,
+            before=earlier_delivery,
         )
-        if len(book.specs) != len(body.samples):
+        if len(delivery.specs) != len(body.samples):
             return NotRun(ResultCode.BAD_REQUEST, "samples: a slot stands twice", 0.0)
-        self._trace_opened(trainer, step, book, reopened=earlier is not None)
-        if before is None:
-            self._runs[key] = self._runner.start(trainer, step, book, body.version)
+        self._trace_opened(
+            trainer, step, delivery, reopened=earlier_delivery is not None
+        )
+        if known_run is None:
+            self._step_runs[key] = self._runner.start(
+                trainer, step, delivery, body.version
+            )
             self._drop_old_steps(trainer.name)
         else:
-            before.reopen(book, body.version)
+            known_run.reopen(delivery, body.version)
         for sample in self._inherited.pop(key, []):
-            self._runs[key].add(sample)
-        return _collected(
-            {"fence": held.fence, "cursor": book.cursor, "missing": len(book.missing)}
+            self._step_runs[key].add(sample)
+        return _operation_answer(
+            {
+                "fence": held.fence,
+                "cursor": delivery.cursor,
+                "missing": len(delivery.missing),
+            }
         )
 
     def _trace_opened(
-        self, trainer: Trainer, step: int, book: StepDelivery, *, reopened: bool
+        self, trainer: Trainer, step: int, delivery: StepDelivery, *, reopened: bool
     ) -> None:
         self._state.trace(
             StepOpened(
                 trainer.name,
                 step,
-                book.fence,
-                book.bound,
-                slots=tuple((s.group, s.index) for s in book.specs),
-                received=tuple((s.group, s.index) for s in book.received),
+                delivery.fence,
+                delivery.bound,
+                slots=tuple((s.group, s.index) for s in delivery.specs),
+                received=tuple((s.group, s.index) for s in delivery.received),
                 reopened=reopened,
             )
         )
@@ -276,32 +293,32 @@
         )
 
     def _drop_old_steps(self, trainer: str) -> None:
-        steps = sorted(step for name, step in self._runs if name == trainer)
+        steps = sorted(step for name, step in self._step_runs if name == trainer)
         for step in steps[:-_MAX_STEPS]:
-            self._runs.pop((trainer, step)).cancel()
+            self._step_runs.pop((trainer, step)).cancel()
 
     async def _fetch(
         self, trainer: Trainer, step: int, body: FetchBody
-    ) -> Collected | NotRun:
-        run = self._runs.get((trainer.name, step))
-        if run is None:
+    ) -> OperationAnswer | NotRun:
+        step_run = self._step_runs.get((trainer.name, step))
+        if step_run is None:
             return NotRun(ResultCode.RESYNC, "the step is not known here", 0.0)
-        run.note_version(body.version)
+        step_run.note_version(body.version)
         began = boot_time()
-        if body.fence == run.book.fence:
-            await run.wait_ready(body.wait_s)
+        if body.fence == step_run.delivery.fence:
+            await step_run.wait_ready(body.wait_s)
         request = FetchRequest(body.fence, body.cursor, body.version, body.limit)
-        answer = run.book.fetch(request)
+        answer = step_run.delivery.fetch(request)
         self._trace_fetched(trainer, step, request, answer)
         if isinstance(answer, Resync):
             return NotRun(ResultCode.RESYNC, f"the fence is {answer.fence} now", 0.0)
-        run.wake()
-        self._burn.fetch(trainer.name, boot_time() - began)
+        step_run.wake()
+        self._burn.record_fetch(trainer.name, boot_time() - began)
         for sample in answer.samples:
             oldest = min(r.version for r in sample.runs)
-            self._burn.sample(trainer.name, body.version - oldest)
+            self._burn.record_sample(trainer.name, body.version - oldest)
         self._metrics.samples.add(len(answer.samples), {"what": "handed_out"})
-        return _collected(
+        return _operation_answer(
             {
                 "fence": answer.fence,
                 "number": answer.number,
@@ -315,8 +332,8 @@
     return 20.0 if operation == "fetch" else 0.0
 
 
-def _collected(data: dict[str, object]) -> Collected:
-    return Collected(json.dumps(data).encode())
+def _operation_answer(data: dict[str, object]) -> OperationAnswer:
+    return OperationAnswer(json.dumps(data).encode())
 
 
 def _sample_to_json(sample: Sample) -> dict[str, object]:
--- a/packages/saddledoord/src/saddledoord/samples/runner.py
+++ b/packages/saddledoord/src/saddledoord/samples/runner.py
@@ -2,6 +2,8 @@
 
 """
 Runs the samples of a step at engines of all data centres.
+
+In names, a site is a data centre.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
 
 __all__ = ["SampleRunner", "StepRun"]
 
-#: Samples in flight per known slot; above 1, so that engines do not wait for the
+#: Samples in flight per engine slot; above 1, so that engines do not wait for the
 #: collector.
 _WINDOW_FACTOR = 1.25
 #: Pause before a failed sample is attempted again, in seconds.
@@ -87,12 +89,12 @@
         self._peers = peers
 
     def start(
-        self, trainer: Trainer, step: int, book: StepDelivery, version: int
+        self, trainer: Trainer, step: int, delivery: StepDelivery, version: int
     ) -> StepRun:
         """
         Start to run the missing samples of a step.
         """
-        return StepRun(self, trainer, step, book, version)
+        return StepRun(self, trainer, step, delivery, version)
 
     def sites(self, pool: str) -> list[_Site]:
         """
@@ -100,10 +102,10 @@
         """
         reports = self.state.members.reports()
         own_slots = sum(
-            member.slots
-            for member in local_backends(self.state)
-            if member.state == "serving" and self._is_in_pool(pool, member.name)
-            if (report := reports.get(member.name)) and report.alive
+            backend.slots
+            for backend in local_backends(self.state)
+            if backend.state == "serving" and self._is_in_pool(pool, backend.name)
+            if (report := reports.get(backend.name)) and report.alive
         )
         sites = [_Site(self.state.data_centre, own_slots)] if own_slots else []
         for summary in self.state.members.sites(boot_time()):
@@ -114,8 +116,8 @@
 
     async def attempt(self, site: _Site, job: CompletionJob) -> Answer | None:
         """
-        Run a sample once; return None without a complete answer whose weight versions
-        are known.
+        Run a sample once; return None if the answer is incomplete or a weight version
+        is unknown.
         """
         if site.peers:
             peer = random.choice(site.peers)
@@ -141,7 +143,9 @@
 
 class StepRun:
     """
-    A step in progress: its book and the samples in flight.
+    A step in progress: its delivery and the samples in flight.
+
+    A `Slot` is a sample's place in the step, not a slot of an engine.
     """
 
     def __init__(
@@ -149,10 +153,10 @@
         runner: SampleRunner,
         trainer: Trainer,
         step: int,
-        book: StepDelivery,
+        delivery: StepDelivery,
         version: int,
     ) -> None:
-        self.book = book
+        self.delivery = delivery
         self._runner = runner
         self._trainer = trainer
         self._step = step
@@ -163,11 +167,11 @@
         self._changed = asyncio.Event()
         self._task = asyncio.create_task(self._run())
 
-    def reopen(self, book: StepDelivery, version: int) -> None:
+    def reopen(self, delivery: StepDelivery, version: int) -> None:
         """
-        Continue with a new book, after the trainer has submitted the step again.
+        Continue with a new delivery after the trainer has submitted the step again.
         """
-        self.book = book
+        self.delivery = delivery
         self.note_version(version)
         self.wake()
 
@@ -185,14 +189,14 @@
 
     def add(self, sample: Sample) -> bool:
         """
-        Add a finished sample to the book; return False if it was not accepted.
+        Add a finished sample to the delivery; return False if it was not accepted.
         """
         slot = (sample.slot.group, sample.slot.index)
         runs = tuple((run.version, run.first, run.last) for run in sample.runs)
         self._runner.state.trace(
             SampleAdded(self._trainer.name, self._step, slot, sample.tokens, runs)
         )
-        return self.book.add(sample)
+        return self.delivery.add(sample)
 
     def _trace_stale(self) -> None:
         self._runner.state.trace(
@@ -206,10 +210,10 @@
         """
         try:
             async with asyncio.timeout(wait):
-                while not self.book.complete:
-                    if self.book.drop_stale(self._version):
+                while not self.delivery.complete:
+                    if self.delivery.drop_stale(self._version):
                         self._trace_stale()
-                    if self.book.ready:
+                    if self.delivery.ready:
                         return
                     self._changed.clear()
                     await self._changed.wait()
@@ -232,6 +236,9 @@
         await asyncio.gather(self._task, *self._tasks, return_exceptions=True)
 
     def cancel(self) -> None:
+        """
+        Cancel the step without waiting for its tasks.
+        """
         self._task.cancel()
         for task in self._tasks:
             task.cancel()
@@ -250,7 +257,7 @@
             await asyncio.sleep(_BATCH_DELAY)
 
     def _start_samples(self) -> None:
-        waiting = [s for s in self.book.missing if s.slot not in self._in_flight]
+        waiting = [s for s in self.delivery.missing if s.slot not in self._in_flight]
         if not waiting:
             return
         sites = self._runner.sites(self._trainer.pool)
