--- a/packages/saddledoord/src/saddledoord/observability/logs.py
+++ b/packages/saddledoord/src/saddledoord/observability/logs.py
@@ -16,7 +16,7 @@
 from .._clock import boot_time
 
 
-__all__ = ["BoundedEvents", "NonBlockingLines", "set_up_json_logs"]
+__all__ = ["EventRateLimiter", "NonBlockingLogger", "set_up_json_logs"]
 
 #: Lines of one event that may be written at once.
 _BURST = 200
@@ -24,7 +24,7 @@
 _PER_SECOND = 8.0
 
 
-class BoundedEvents:
+class EventRateLimiter:
     """
     Structlog processor that limits the rate of each event and counts dropped lines.
 
@@ -61,7 +61,7 @@
         return event
 
 
-class NonBlockingLines:
+class NonBlockingLogger:
     """
     Logger that drops and counts lines while its file descriptor would block.
     """
@@ -81,6 +81,7 @@
             return
         line = message.encode()
         if self._dropped_lines:
+            # The line is a JSON object; the number becomes its last field.
             line = line[:-1] + b', "lines_lost": %d}' % self._dropped_lines
             self._dropped_lines = 0
         self._pending = line + b"\n"
@@ -90,7 +91,7 @@
 
     def _flush(self) -> bool:
         """
-        Write pending bytes; True if none remain.
+        Write pending bytes; return True if none remain.
         """
         try:
             while self._pending:
@@ -109,10 +110,10 @@
     Send every line to standard output as JSON, with the VM's name.
     """
     logging.basicConfig(level=logging.CRITICAL, stream=sys.stdout)
-    lines = NonBlockingLines(sys.stdout.fileno())
+    lines = NonBlockingLogger(sys.stdout.fileno())
     structlog.configure(
         processors=[
-            BoundedEvents(),
+            EventRateLimiter(),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/packages/saddledoord/src/saddledoord/observability/tracing.py
+++ b/packages/saddledoord/src/saddledoord/observability/tracing.py
@@ -16,15 +16,16 @@
 
 __all__ = ["Emit", "open_trace"]
 
+#: Writes a trace event.
 Emit = Callable[[Event], None]
 
 
-def open_trace(path: str | None, node: str) -> Emit:
+def open_trace(path: str | None, vm: str) -> Emit:
     """
     Return a function that writes an event to the trace file.
 
     :param path: Path of the trace file; None disables tracing.
-    :param node: Name of the VM.
+    :param vm: Name of the VM.
     """
     if path is None:
         return lambda event: None
@@ -32,6 +33,6 @@
     file = Path(path).open("a", buffering=1)  # noqa: SIM115
 
     def emit(event: Event) -> None:
-        file.write(encode_traced(TracedEvent(boot_time(), node, event)) + "\n")
+        file.write(encode_traced(TracedEvent(boot_time(), vm, event)) + "\n")
 
     return emit
--- a/tests/test_structured_log.py
+++ b/tests/test_structured_log.py
@@ -15,7 +15,7 @@
 import pytest
 import structlog
 
-from saddledoord.observability.logs import BoundedEvents, NonBlockingLines
+from saddledoord.observability.logs import EventRateLimiter, NonBlockingLogger
 
 
 def test_frequent_event_is_rate_limited_and_counted():
@@ -23,7 +23,7 @@
     Other events are not affected; the next line has the number of dropped lines.
     """
     now = [0.0]
-    bounded = BoundedEvents(burst=3, per_second=1.0, clock=lambda: now[0])
+    bounded = EventRateLimiter(burst=3, per_second=1.0, clock=lambda: now[0])
     accepted = 0
     for _ in range(10):
         try:
@@ -42,7 +42,7 @@
     Writing does not block, and the reader gets complete lines only.
     """
     reader, writer = os.pipe()
-    lines = NonBlockingLines(writer)
+    lines = NonBlockingLogger(writer)
     started_at = time.monotonic()
     for number in range(5000):
         lines.msg(json.dumps({"number": number, "text": "x" * 200}))
