--- a/tests/adapter/platform_bed.py
+++ b/tests/adapter/platform_bed.py
@@ -1,7 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-A small deployment on loopback: the edge program with stand-ins of the platform.
+A small deployment on loopback: edges, which are processes of ``platform/edge.py``, and
+stand-ins of the platform.
 """
 
 from __future__ import annotations
@@ -86,6 +87,8 @@
 def until(check: Callable[[], object], timeout: float = 10.0) -> object:
     """
     Poll the check and return its first true value.
+
+    :param timeout: In seconds.
     """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
--- a/tests/adapter/standin_duties.py
+++ b/tests/adapter/standin_duties.py
@@ -26,7 +26,7 @@
         ``mute`` is silent to reports with counts.
     :ivar lose: Number of calls that are carried out but not answered.
     :ivar late: Number of calls that are not answered and carried out later.
-    :ivar fenced: Whether fencing tokens below the highest seen one are refused.
+    :ivar fenced: Whether fencing numbers below the highest seen one are refused.
     :ivar calls: All calls that arrived.
     :ivar reports: Reports that were carried out, in order.
     """
--- a/tests/adapter/test_documents_properties.py
+++ b/tests/adapter/test_documents_properties.py
@@ -38,7 +38,7 @@
     encode_job_record,
 )
 from saddledoord.ports import EngineState, KeyedPage, NamedVersion, UnusableValue
-from store import StoreRegistry
+from store import KeyedTopic
 from store_documents import KeyedStore, make_record, make_row
 
 
@@ -205,7 +205,7 @@
     The valid row among them is always returned.
     """
     good = make_row("good", as_bytes(make_entry()), 1)
-    registry = StoreRegistry(
+    registry = KeyedTopic(
         KeyedStore([[*rows, good]]), "keyed.servers", decode_engine_entry
     )
     page = asyncio.run(registry.newest())
@@ -220,7 +220,7 @@
     The valid record after them is always returned, at its own offset.
     """
     good = make_record(b"good", as_bytes(make_entry()))
-    registry = StoreRegistry(
+    registry = KeyedTopic(
         KeyedStore(records=[*records, good]), "keyed.servers", decode_engine_entry
     )
     page = asyncio.run(registry.changes(0, 0.0))
--- a/tests/adapter/test_edge_process_pauses.py
+++ b/tests/adapter/test_edge_process_pauses.py
@@ -91,10 +91,8 @@
     platform_bed,
 ):
     """
-    No engine answers in time, so the caller gets a refusal and can ask elsewhere.
-
-    Guards against counting the route's timeout from when the request was read, which a
-    pause can delay.
+    No engine answers in time, so the caller gets a refusal: the route's timeout counts
+    from the request's arrival, not from when a paused edge read it.
     """
     platform_bed.fake_engine("desk-0", fail=503)
     platform_bed.fake_engine("desk-1", delay=3.0)
--- a/tests/adapter/test_engine_report.py
+++ b/tests/adapter/test_engine_report.py
@@ -62,9 +62,7 @@
 
 def test_an_engine_that_was_given_an_order_is_asked_later():
     """
-    A task that has sent an order can request reports later.
-
-    Guards against the order's send deadline applying to later requests of the task.
+    The send deadline of a task's order does not apply to its later requests.
     """
 
     async def order(_: web.Request) -> web.Response:
--- a/tests/adapter/test_registry.py
+++ b/tests/adapter/test_registry.py
@@ -17,7 +17,7 @@
 from saddledoord.cluster.follow import RegistryFollower
 from saddledoord.cluster.view import ClusterView
 from saddledoord.ports import KeyedPage, StoreUnavailableError, UnusableValue
-from store import StoreRegistry
+from store import KeyedTopic
 from store_documents import KeyedStore, make_record, make_row
 
 
@@ -25,8 +25,8 @@
 _BAD = b"nonsense"
 
 
-def _registry(store: KeyedStore) -> StoreRegistry:
-    return StoreRegistry(store, "keyed.servers", decode_engine_entry)
+def _registry(store: KeyedStore) -> KeyedTopic:
+    return KeyedTopic(store, "keyed.servers", decode_engine_entry)
 
 
 def _newest(*pages: list) -> KeyedPage:
@@ -41,7 +41,7 @@
     return [e.key for e in page.entries if not isinstance(e.value, UnusableValue)]
 
 
-async def _followed(registry: StoreRegistry, view: ClusterView) -> asyncio.Task:
+async def _followed(registry: KeyedTopic, view: ClusterView) -> asyncio.Task:
     """
     Start a follower, and wait until it has read the first pages.
     """
