--- a/packages/saddledoorctl/src/saddledoorctl/_html.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_html.py
@@ -26,20 +26,20 @@
 
 
 def render_html(
-    deployment: str, rows: Sequence[BurnRow], holes: Sequence[CountingGap]
+    deployment: str, rows: Sequence[BurnRow], gaps: Sequence[CountingGap]
 ) -> str:
     """
     Return the HTML page.
 
-    :param holes: Processes that stopped reporting, whose counts are incomplete.
+    :param gaps: Processes that stopped reporting, whose counts are incomplete.
 
     :raises click.ClickException: If matplotlib is not installed.
     """
     body = "".join(_row(row) for row in rows)
     missing = "".join(
-        f"<p class=hole>Hole: {html.escape(hole.incarnation)} in "
-        f"{html.escape(hole.data_centre)} fell silent; what it counted is not known."
-        for hole in holes
+        f"<p class=hole>Hole: {html.escape(gap.incarnation)} in "
+        f"{html.escape(gap.data_centre)} fell silent; what it counted is not known."
+        for gap in gaps
     )
     head = "".join(
         f"<th>{name}"
--- a/packages/saddledoorctl/src/saddledoorctl/_platform.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_platform.py
@@ -97,7 +97,8 @@
 
     def _start_page(self, first: int) -> None:
         """
-        Process the oldest offset that the log has; called before a page's records.
+        Hook for subclasses; called with the log's oldest offset, before a page's
+        records.
         """
 
     def _add_record(self, item: dict) -> Entry | None:
--- a/packages/saddledoorctl/src/saddledoorctl/_runs.py
+++ b/packages/saddledoorctl/src/saddledoorctl/_runs.py
@@ -28,6 +28,7 @@
     "not_started": "refused",
     "not_wanted": "share moved",
 }
+#: Reasons of attempts that engines refused.
 _REFUSED = {"refused", "weights"}
 
 
@@ -45,10 +46,10 @@
     :param late: Whether the group was listed after the objective.
     :param saved: Time saved by all cuts of the item, in seconds: the estimated time of
         the remaining events at the pace before the first cut, less the time that they
-        took. Set for one cut of an item: the first, or the first slow one that a
-        refusal followed. None if the job changed nodes, if the cuts do not have
-        exactly one reason apart from refusals, or if the first cut had fewer than two
-        events.
+        took. Set for one cut of an item only: the first slow cut that a refusal
+        followed, else the first cut. None for all of them if the job changed nodes, if
+        the cuts do not have exactly one reason apart from refusals, or if the first cut
+        had fewer than two events.
     """
 
     reason: str
@@ -137,41 +138,46 @@
 
 def _cuts_of_item(
     item: str,
-    own: list[LogLine],
-    last: LogLine | None,
+    cut_lines: list[LogLine],
+    listed_line: LogLine | None,
     late: bool | None,
     one_node: bool,
 ) -> list[Cut]:
-    reasons = [_reason(line.fields) for line in own]
-    kinds = set(reasons) - _REFUSED
+    reasons = [_reason(line.fields) for line in cut_lines]
+    cut_reasons = set(reasons) - _REFUSED
     reported_index = 0
     for index, after in reversed(list(enumerate(reasons[1:]))):
         if reasons[index] == "pace" and after in _REFUSED:
             # The item gave up its slot and did not get another.
             reasons[index] = "pace, then refused"
             reported_index = index
-    events = [line.fields["events"] for line in own]
-    if last is None:
-        return [Cut(reasons[i], item, events[i]) for i in range(len(own))]
-    seconds = last.fields["seconds"]
-    began = last.at - sum(seconds.values())
+    events = [line.fields["events"] for line in cut_lines]
+    if listed_line is None:
+        return [Cut(reasons[i], item, events[i]) for i in range(len(cut_lines))]
+    seconds = listed_line.fields["seconds"]
+    started_at = listed_line.at - sum(seconds.values())
+    # All attempts are assumed to have waited equally.
     wait = seconds["place"] + seconds["first_event"]
-    wait /= len(last.fields["engines"])
+    wait /= len(listed_line.fields["engines"])
     saved = None
-    if one_node and len(kinds) == 1 and events[0] > 1:
-        gap = (own[0].at - began - wait) / (events[0] - 1)
-        whole = last.at - seconds.get("score", 0.0) - seconds.get("log", 0.0)
-        saved = gap * (last.fields["events"] - events[0]) - (whole - own[0].at)
+    if one_node and len(cut_reasons) == 1 and events[0] > 1:
+        event_interval = (cut_lines[0].at - started_at - wait) / (events[0] - 1)
+        completed_at = (
+            listed_line.at - seconds.get("score", 0.0) - seconds.get("log", 0.0)
+        )
+        saved = event_interval * (listed_line.fields["events"] - events[0]) - (
+            completed_at - cut_lines[0].at
+        )
     return [
         Cut(
             reasons[index],
             item,
             events[index],
-            wait + max(0.0, began - line.at),
+            wait + max(0.0, started_at - line.at),
             late,
             saved if index == reported_index else None,
         )
-        for index, line in enumerate(own)
+        for index, line in enumerate(cut_lines)
     ]
 
 
@@ -186,9 +192,12 @@
 
 def _table(cuts: list[Cut]) -> str:
     """
-    Return a row per reason: cuts, items, cuts of a text with events, those events, cuts
-    of the last item of a group, late ones of these, mean time until the next event,
-    items whose saved time is known, its median, and items with a negative one.
+    Return a row per reason, with its cuts and their items.
+
+    BEGUN: cuts of a text with events; EVENTS: those events; LAST: cuts of a group's
+    last item; LATE: late ones of these; BACK: mean time until the next event, in
+    seconds; TOLD: items whose saved time is known; GAINED: its median, in seconds;
+    LOST: items with a negative one.
     """
     lines = [
         f"{'REASON':<18} {'CUTS':>5} {'ITEMS':>5} {'BEGUN':>5} {'EVENTS':>6} "
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -34,11 +34,12 @@
 _CANCEL_LIMIT = 3.0
 _GRACE = 8.0
 _LEASE_TERM = 1.0
-#: Tolerances of the platform's rules, in seconds: until an accepted job or a position
-#: that was read is visible at every edge; until a configuration change applies; for
-#: orders that an edge gives right after a process pause.
+#: Longest time until an accepted job or a position that was read is visible at every
+#: edge, in seconds.
 _VISIBILITY_SLACK = 1.0
+#: Longest time until a configuration change applies, in seconds.
 _ROLLBACK_SLACK = 0.25
+#: Tolerance for orders that an edge gives right after a process pause, in seconds.
 _PAUSE_SLACK = 0.3
 #: A connection that closes within this time of sending a request, in seconds, may have
 #: closed before the edge received the request.
@@ -135,17 +136,17 @@
 def _positions(observations: Observations) -> Iterator[str]:
     items = {s.job: s.items for s in list(observations.submissions)}
     listed: dict[tuple[str, int], dict] = {}
-    places: dict[tuple[str, str], int] = {}
+    positions: dict[tuple[str, str], int] = {}
     for read in _answered(observations):
         if read.total != items.get(read.job, read.total):
             yield f"{read.job}: total {read.total} at {read.edge}"
-        for place, result in enumerate(read.results, read.since):
-            before = listed.setdefault((read.job, place), result)
+        for position, result in enumerate(read.results, read.since):
+            before = listed.setdefault((read.job, position), result)
             if before != result:
-                yield f"{read.job}: position {place} was {before}, then {result}"
-            first = places.setdefault((read.job, result["id"]), place)
-            if first != place:
-                yield f"{read.job}: {result['id']} at positions {first} and {place}"
+                yield f"{read.job}: position {position} was {before}, then {result}"
+            first = positions.setdefault((read.job, result["id"]), position)
+            if first != position:
+                yield f"{read.job}: {result['id']} at positions {first} and {position}"
             if job_of(result["id"]) != read.job:
                 yield f"{read.job}: lists {result['id']}"
 
@@ -328,17 +329,17 @@
     served: set[tuple[str, int, str]] = set()
     removed: dict[tuple[str, int, str], float] = {}
     for request in sorted(list(observations.requests), key=lambda one: one.at):
-        place = (request.edge, request.start_number, request.key)
+        edge_key = (request.edge, request.start_number, request.key)
         description = f"{request.request_id}, {request.key!r} at {request.edge}"
         if request.status == 401 and is_permanent_key(request.key):
             yield f"{description}: 401, and the key is always there"
         if request.status == 200 and not workspace_of(request.key):
             yield f"{description}: served, and the key never was there"
-        if request.status == 401 and place in served:
-            removed.setdefault(place, request.at)
+        if request.status == 401 and edge_key in served:
+            removed.setdefault(edge_key, request.at)
         if request.status == 200:
-            served.add(place)
-            if request.began > removed.get(place, float("inf")) + _ROLLBACK_SLACK:
+            served.add(edge_key)
+            if request.began > removed.get(edge_key, float("inf")) + _ROLLBACK_SLACK:
                 yield f"{description}: served, and the key had been taken away there"
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -76,7 +76,7 @@
 
     :ivar counts: Faults that were injected, by kind.
     :ivar ends: Monotonic end time of each fault, and the fault.
-    :ivar broken: Errors of the soak itself, which make its verdict invalid.
+    :ivar errors: Errors of the soak itself, which make its verdict invalid.
     """
 
     bed: PlatformBed
@@ -84,7 +84,7 @@
     observations: Observations
     counts: Counter[str] = field(default_factory=Counter)
     ends: list[tuple[float, Fault]] = field(default_factory=list)
-    broken: list[BaseException] = field(default_factory=list)
+    errors: list[BaseException] = field(default_factory=list)
     began: float = field(default_factory=time.monotonic)
     version_lock: threading.Lock = field(default_factory=threading.Lock)
     edge_locks: dict[str, threading.Lock] = field(
@@ -112,9 +112,9 @@
                 self.counts[fault.kind] += 1
                 self._inject(fault)
                 self.ends.append((time.monotonic(), fault))
-        # Raised by `run_seed` after all threads ended.
+        # `run_seed` raises it after all threads have ended.
         except Exception as error:
-            self.broken.append(error)
+            self.errors.append(error)
 
     def _inject(self, fault: Fault) -> None:
         if fault.kind is Kind.CONFIGURE:
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -27,7 +27,7 @@
     "UnusableSoakError",
 ]
 
-#: Names of the processes under test.
+#: Targets of faults.
 EDGES = ("edge-0", "edge-1", "edge-2")
 POOL = ("engine-0", "engine-1")
 DESKS = ("desk-0", "desk-1")
@@ -51,8 +51,11 @@
     KILL = "kill"
     STOP = "stop"
     FREEZE_KILL = "freeze_kill"
+    #: SIGTERM while paused.
     FREEZE_STOP = "freeze_stop"
+    #: SIGTERM soon after a pause.
     THAW_STOP = "thaw_stop"
+    #: A second SIGTERM during a planned stop.
     STOP_TWICE = "stop_twice"
     CRASH = "crash"
     HANG = "hang"
@@ -65,8 +68,11 @@
     BUSY = "busy"
     SILENT = "silent"
     RESET = "reset"
+    #: Appends are carried out, but not answered.
     LOSE_DONE = "lose_done"
+    #: Appends are neither answered nor carried out.
     LOSE_UNDONE = "lose_undone"
+    #: Unanswered appends are carried out later.
     LOSE_LATE = "lose_late"
     CONFIGURE = "configure"
     NAME_VERSION = "name_version"
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -100,12 +100,12 @@
                 time.sleep(_CHECK_INTERVAL)
                 journals.follow()
                 _collect_reports(bed, observations)
-                broken = len(judge(observations))
+                finding_count = len(judge(observations))
                 progress(
                     f"seed {seed}: {time.monotonic() - injector.began:.0f} s,"
                     f" {injector.counts.total()} faults,"
                     f" {len(observations.requests)} requests,"
-                    f" {broken} broken"
+                    f" {finding_count} broken"
                 )
             load.closing.set()
             _wait_for_recovery(load, observations)
@@ -117,8 +117,8 @@
         _read_all_jobs(load, observations)
         journals.follow()
         _collect_reports(bed, observations)
-    if injector.broken:
-        raise SoakBrokenError(f"seed {seed}: {injector.broken[0]!r}")
+    if injector.errors:
+        raise SoakBrokenError(f"seed {seed}: {injector.errors[0]!r}")
     findings = tuple(dict.fromkeys(judge(observations)))
     served = [a for a in observations.requests if a.status == 200]
     worst, worst_after = _worst_recovery(injector.ends, observations)
