--- a/packages/saddledoord/src/saddledoord/backends/control.py
+++ b/packages/saddledoord/src/saddledoord/backends/control.py
@@ -120,7 +120,7 @@
         rank = order.index(self._state.settings.vm)
         if now - self._lease_free_since < rank * _CLAIM_DELAY_PER_RANK:
             return None
-        return await self._keeper.take(name)
+        return await self._keeper.try_claim(name)
 
     async def _control_engines(self, lease: HeldLease) -> None:
         if lease.fence != self._fence:
--- a/packages/saddledoord/src/saddledoord/backends/dispatch.py
+++ b/packages/saddledoord/src/saddledoord/backends/dispatch.py
@@ -220,7 +220,7 @@
             return None
         choose = self._policies[self._state.deployment.limits.choice]
         chosen = choose([candidate for _, candidate in candidates])
-        backend = next(m for m, c in candidates if c is chosen)
+        backend = next(b for b, c in candidates if c is chosen)
         return self._grant(backend, slot_request.target)
 
     def _grant(self, backend: Engine | Instance, target: str) -> Grant:
@@ -246,7 +246,7 @@
         reports = self._state.members.reports()
         now = boot_time()
         local = self._state.data_centre
-        local_backends = [m for m in backends if m.data_centre == local]
+        local_backends = [b for b in backends if b.data_centre == local]
         remote_backends = (
             []
             if slot_request.local_only
@@ -254,9 +254,9 @@
         )
         for group in (local_backends, remote_backends):
             usable = [
-                (m, self._candidate(m, reports.get(m.name), now))
-                for m in group
-                if self._is_usable(m, slot_request, reports.get(m.name), now)
+                (b, self._candidate(b, reports.get(b.name), now))
+                for b in group
+                if self._is_usable(b, slot_request, reports.get(b.name), now)
             ]
             if usable:
                 return usable
@@ -269,7 +269,7 @@
         unusable = {name for site in sites for name in site.unusable}
         local = self._state.data_centre
         return [
-            m for m in backends if m.data_centre != local and m.name not in unusable
+            b for b in backends if b.data_centre != local and b.name not in unusable
         ]
 
     def _backends_of(self, target: str) -> tuple[Engine | Instance, ...]:
--- a/packages/saddledoord/src/saddledoord/log/leases.py
+++ b/packages/saddledoord/src/saddledoord/log/leases.py
@@ -80,7 +80,7 @@
         lease = self._state.lease_fold.get(name)
         return self._state.watch(name).may_claim(lease, boot_time())
 
-    async def take(self, name: str) -> HeldLease | None:
+    async def try_claim(self, name: str) -> HeldLease | None:
         """
         Try to claim a lease; return it if this process holds it.
         """
--- a/packages/saddledoord/src/saddledoord/samples/collector.py
+++ b/packages/saddledoord/src/saddledoord/samples/collector.py
@@ -109,7 +109,7 @@
             return NotRun(ResultCode.RESYNC, "the trainer has no collector now", 0.0)
         if self._state.stage != "serving":
             return NotRun(ResultCode.STOPPING, "this VM takes no new steps", 0.0)
-        if await self._keeper.take(lease) is None:
+        if await self._keeper.try_claim(lease) is None:
             return NotRun(ResultCode.NO_COLLECTOR, "the lease is not to be had", 0.5)
         return await self.serve_here(trainer.name, operation, step, payload)
 
@@ -145,7 +145,7 @@
         deadline = asyncio.get_running_loop().time() + _CLAIM_TIMEOUT
         while asyncio.get_running_loop().time() < deadline:
             await self._keeper.refresh()
-            if await self._keeper.take(collector_lease(trainer)) is not None:
+            if await self._keeper.try_claim(collector_lease(trainer)) is not None:
                 return
             await asyncio.sleep(0.1)
 
