--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -94,9 +94,10 @@
         if request.status != 200:
             continue
         name = request.request_id
-        if (request.body, request.mark) != (f"answer to {name}", f"seal-{name}"):
+        if (request.body, request.signature) != (f"answer to {name}", f"seal-{name}"):
             yield (
-                f"{name} at {request.edge} got {request.body!r}, mark {request.mark!r}"
+                f"{name} at {request.edge} got {request.body!r},"
+                f" signature {request.signature!r}"
             )
 
 
--- a/tests/soak/load.py
+++ b/tests/soak/load.py
@@ -117,12 +117,12 @@
             return CallerRequest(
                 name, target, edge, start_number, began, now, 0, key=key
             )
-        mark = response.headers.get("Saddledoor-Server-Seal", "")
+        signature = response.headers.get("Saddledoor-Server-Seal", "")
         now, status = time.monotonic(), response.status
         # `start_number` is that of the process that received the request, even if the
         # edge has restarted since.
         return CallerRequest(
-            name, target, edge, start_number, began, now, status, mark, body, key
+            name, target, edge, start_number, began, now, status, signature, body, key
         )
 
     def train(self, name: str, draw: random.Random) -> None:
--- a/tests/soak/observed.py
+++ b/tests/soak/observed.py
@@ -46,7 +46,7 @@
     began: float
     at: float
     status: int
-    mark: str = ""
+    signature: str = ""
     body: str = ""
     key: str = "red-0"
 
--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -41,7 +41,7 @@
         "began": 10.0,
         "at": 10.1,
         "status": 200,
-        "mark": "seal-q",
+        "signature": "seal-q",
         "body": "answer to q",
     }
     return CallerRequest(**{**fields, **changes})
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -102,7 +102,7 @@
 #: The check that must find a violation, and the records that cause it.
 _VIOLATIONS = [
     ("whole_answers", {"requests": [make_request(body="answer to other")]}),
-    ("whole_answers", {"requests": [make_request(mark="")]}),
+    ("whole_answers", {"requests": [make_request(signature="")]}),
     ("runs_once", {"engine_lines": [make_line(target="/book/x")] * 2}),
     (
         "never_runs",
