--- a/packages/saddledoor/src/saddledoor/_answers.py
+++ b/packages/saddledoor/src/saddledoor/_answers.py
@@ -22,7 +22,8 @@
     """
     A part of an engine's answer.
 
-    :param version: Weight version that the engine named in this part, or none.
+    :param tokens: Number of tokens in the part.
+    :param version: Weight version that the engine reported in this part, or `None`.
     :param finish_reason: Set in the last part only.
     """
 
@@ -37,7 +38,7 @@
     """
     An answer from its first token to its end marker.
 
-    :param labelled: Whether the engines named a version for every token.
+    :param labelled: Whether the engines reported a version for every token.
     """
 
     text: str
@@ -101,8 +102,8 @@
         if part.finish_reason is None:
             self._add(part)
         else:
-            # The last part is appended with the end marker; without the marker, a later
-            # attempt makes its tokens again.
+            # The last part is appended when the end marker arrives; without the marker,
+            # a later attempt generates the part again.
             self._last = part
         return True
 
@@ -116,7 +117,7 @@
 
     def whole(self) -> Answer | None:
         """
-        Return the answer if it is complete, or none.
+        Return the answer if it is complete, or `None`.
         """
         if not self._ended or self._last is None:
             return None
--- a/packages/saddledoor/src/saddledoor/_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_attempts.py
@@ -21,7 +21,7 @@
     State of a request's attempts.
 
     :param limit: Maximum number of attempts.
-    :param unrepeatable: Whether the request may be handed over only once.
+    :param unrepeatable: Whether the request may be sent to a back end only once.
     :param unknown_code: Result code of an unknown outcome of this kind of request.
     :param count: Number of attempts so far.
     :param handed_over: Whether a byte of the request may have reached a back end.
@@ -59,8 +59,9 @@
 
     def refuse_retry(self, budget: RetryBudget) -> NotRun | OutcomeUnknown | None:
         """
-        Return none if another attempt may begin, which spends one retry of the budget;
-        otherwise the outcome of the request.
+        Decide whether another attempt may begin; if so, spend one retry of the budget.
+
+        :returns: `None` if it may begin, otherwise the outcome of the request.
         """
         if self.unrepeatable and self.handed_over:
             return self._unknown(self.reason)
--- a/packages/saddledoor/src/saddledoor/_availability.py
+++ b/packages/saddledoor/src/saddledoor/_availability.py
@@ -13,7 +13,8 @@
 
 __all__ = ["DEAD_REPORT_AGE", "FAILURE_BACKOFF", "BackendRequirement", "is_eligible"]
 
-#: How long a back end gets no work after it failed this node, in seconds.
+#: How long a back end gets no work after a request of this node failed there, in
+#: seconds.
 FAILURE_BACKOFF = 1.0
 #: How long a report that a back end is dead holds, in seconds.
 DEAD_REPORT_AGE = 5.0
@@ -42,10 +43,11 @@
     """
     Return whether a back end may get new work.
 
-    :param state: State in the configuration in force: ``serving`` or ``leaving``.
+    :param state: State in the active configuration: ``serving`` or ``leaving``.
     :param report: The newest report of the back end that reached this node, if any.
     :param now: Monotonic, in seconds.
-    :param failed_at: When the back end last failed this node, monotonic, in seconds.
+    :param failed_at: When a request of this node last failed there, monotonic, in
+        seconds.
     """
     if state == "leaving" or now - failed_at < FAILURE_BACKOFF:
         return False
--- a/packages/saddledoor/src/saddledoor/_engine_attempts.py
+++ b/packages/saddledoor/src/saddledoor/_engine_attempts.py
@@ -17,7 +17,8 @@
 #: Delay before the first retry at the same engine, in seconds; doubled with each
 #: further attempt there.
 _RETRY_DELAY = 0.1
-#: The same after an attempt that the engine ran and failed, in seconds.
+#: Delay before the first retry at an engine that ran the request and failed, in
+#: seconds; doubled likewise.
 _FAILED_RETRY_DELAY = 0.4
 
 
@@ -68,8 +69,8 @@
     """
     The attempts of one request.
 
-    :param most: Limit both of the engines that the request may be sent to and of the
-        attempts in which an engine may have run it.
+    :param max_attempts: Maximum number of attempts in which an engine may have run the
+        request, and also of engines that it may be sent to.
     :param repeatable: Whether the request may run more than once.
     """
 
@@ -87,8 +88,8 @@
         """
         return len(self._attempts)
 
-    def __init__(self, most: int, repeatable: bool) -> None:
-        self._most = most
+    def __init__(self, max_attempts: int, repeatable: bool) -> None:
+        self._max_attempts = max_attempts
         self._repeatable = repeatable
         self._attempts: list[EngineAttempt] = []
 
@@ -104,7 +105,7 @@
         """
         Return whether the request may be sent to another engine.
         """
-        return len(self.engines) < self._most and self._has_attempts_left()
+        return len(self.engines) < self._max_attempts and self._has_attempts_left()
 
     def earliest_retry_times(self) -> dict[Incarnation, float]:
         """
@@ -125,7 +126,7 @@
         }
 
     def _has_attempts_left(self) -> bool:
-        return sum(a.outcome in _COUNTED for a in self._attempts) < self._most
+        return sum(a.outcome in _COUNTED for a in self._attempts) < self._max_attempts
 
     def _earliest_retry_time(self, engine: Incarnation) -> float:
         attempts = [a for a in self._attempts if a.engine == engine]
--- a/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
+++ b/packages/saddledoor/src/saddledoor/_engine_crash_fold.py
@@ -23,8 +23,8 @@
 #: How long a crash is remembered after its last report, in seconds; shorter than the
 #: log's retention of records.
 _RETENTION = 240.0
-#: Age of a crash report, in seconds, after which it is published again if a quarantined
-#: request that was in flight at the crash is still being sent.
+#: Age of a crash report, in seconds, after which it is published again while callers
+#: keep sending a quarantined request that was in flight at the crash.
 _REPUBLISH_AFTER = 60.0
 #: Maximum number of crashes that are remembered; the oldest are evicted first.
 _MAX_CRASHES = 256
@@ -82,11 +82,11 @@
     """
     Engine crashes reported by all VMs, folded from the log.
 
-    A request is quarantined after three crashes if, at one of them, every other request
-    in flight was in flight at no other unattributed crash. A crash with a quarantined
-    request in flight is attributed to that request and counts against no other one. A
-    successful run of a request clears it. The quarantine is computed anew from all
-    remembered crashes, so late records correct it.
+    A crash with a quarantined request in flight is attributed to that request and
+    counts against no other one. A request is quarantined once it was in flight at three
+    unattributed crashes, if at one of them it was the only request that was also in
+    flight at another unattributed crash. A successful run of a request clears it. The
+    quarantine is computed anew from all remembered crashes, so late records correct it.
     """
 
     def __init__(self) -> None:
--- a/packages/saddledoor/src/saddledoor/_engine_directory.py
+++ b/packages/saddledoor/src/saddledoor/_engine_directory.py
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self._entries: dict[str, EngineEntry] = {}
         self._missing: dict[str, tuple[EngineEntry, float]] = {}
-        self._outdated_ignored: set[str] = set()
+        self._ids_with_ignored_entry: set[str] = set()
         self._store_recovered_at = float("-inf")
 
     def put(self, entry: EngineEntry) -> bool:
@@ -76,10 +76,10 @@
         is_outdated = current is not None and current.incarnation.follows(
             entry.incarnation
         )
-        if is_outdated and engine_id not in self._outdated_ignored:
-            self._outdated_ignored.add(engine_id)
+        if is_outdated and engine_id not in self._ids_with_ignored_entry:
+            self._ids_with_ignored_entry.add(engine_id)
             return False
-        self._outdated_ignored.discard(engine_id)
+        self._ids_with_ignored_entry.discard(engine_id)
         self._entries[engine_id] = entry
         self._missing.pop(engine_id, None)
         return True
@@ -95,7 +95,7 @@
         :param now: Monotonic, in seconds.
         """
         entry = self._entries.pop(engine_id, None)
-        self._outdated_ignored.discard(engine_id)
+        self._ids_with_ignored_entry.discard(engine_id)
         if entry is None or entry.draining:
             return
         usable_until = self._store_recovered_at + _MISSING_ENTRY_GRACE
@@ -111,7 +111,7 @@
         """
         self._entries.pop(engine_id, None)
         self._missing.pop(engine_id, None)
-        self._outdated_ignored.discard(engine_id)
+        self._ids_with_ignored_entry.discard(engine_id)
 
     def record_store_recovery(self, now: float) -> None:
         """
--- a/packages/saddledoor/src/saddledoor/_engine_tables.py
+++ b/packages/saddledoor/src/saddledoor/_engine_tables.py
@@ -51,7 +51,7 @@
 
     def forget(self, incarnation: Incarnation) -> None:
         """
-        Drop the row of an incarnation and call the table's callback with it.
+        Discard the row of an incarnation and call the table's callback with it.
         """
         row = self._rows.pop(incarnation, None)
         if row is not None:
@@ -64,7 +64,7 @@
 
 class EngineTables:
     """
-    All tables of engine state, so that an incarnation is dropped from all of them at
+    All tables of engine state, so that an incarnation is discarded from all of them at
     once.
 
     State that outlives an incarnation would be applied to the restarted engine, which
@@ -81,7 +81,7 @@
         Create a table.
 
         :param new_row: Creates the row of an incarnation on its first use.
-        :param on_discard: Called with each row that is dropped.
+        :param on_discard: Called with each row that is discarded.
         """
         table = EngineTable(new_row, on_discard)
         self._tables.append(table)
@@ -89,7 +89,7 @@
 
     def forget(self, incarnation: Incarnation) -> None:
         """
-        Drop the rows of an incarnation from all tables.
+        Discard the rows of an incarnation from all tables.
         """
         for table in self._tables:
             table.forget(incarnation)
--- a/packages/saddledoor/src/saddledoor/_event_text.py
+++ b/packages/saddledoor/src/saddledoor/_event_text.py
@@ -34,7 +34,8 @@
     :param events: Data of the events, in order.
     :param versions: Weight versions that made the text up to the last of these events,
         in order of appearance.
-    :param chain: Id of the run that made the last event; empty without events.
+    :param chain: Id of the run that made the last event, as in `EventText`; empty
+        without events.
     """
 
     events: tuple[str, ...] = ()
@@ -46,8 +47,9 @@
     """
     Collects events in order; a later run resumes after the last collected event.
 
-    :param chain: Id of this node's run, unique among all nodes that run the item.
-    :param kept: Beginning of the text, made by earlier runs; none to start anew.
+    :param chain: Id of this node's run of the text, which may use several engines;
+        unique among all nodes that run the item.
+    :param beginning: Beginning of the text, from a checkpoint; `None` for a new text.
     """
 
     @property
@@ -71,10 +73,10 @@
         """
         return "\n".join(self._events)
 
-    def __init__(self, chain: str, kept: TextSegment | None = None) -> None:
+    def __init__(self, chain: str, beginning: TextSegment | None = None) -> None:
         self._chain = chain
-        self._events: list[str] = list(kept.events) if kept else []
-        self._versions: list[int] = list(kept.versions) if kept else []
+        self._events: list[str] = list(beginning.events) if beginning else []
+        self._versions: list[int] = list(beginning.versions) if beginning else []
 
     def take(self, event: GeneratedEvent, oldest_version: int) -> bool:
         """
--- a/packages/saddledoor/src/saddledoor/_incarnation.py
+++ b/packages/saddledoor/src/saddledoor/_incarnation.py
@@ -15,7 +15,9 @@
 @dataclass(frozen=True)
 class Incarnation:
     """
-    An engine between one start of its process and the next: the key of engine state.
+    One process of an engine, and the key of engine state.
+
+    In log records, ``incarnation`` also names the process of a VM.
 
     An engine may restart under the same id and then has lost its state, so the id
     alone only identifies its registry entry.
--- a/packages/saddledoor/src/saddledoor/_item_placement.py
+++ b/packages/saddledoor/src/saddledoor/_item_placement.py
@@ -17,10 +17,10 @@
 
 __all__ = ["PlacementCandidate", "choose_placement", "is_worth_moving"]
 
-#: Ratio up to which two gaps count as equal.
-_GAP_TOLERANCE = 1.02
-#: Ratio to the smallest gap above which an engine counts as slow; larger than the
-#: differences between healthy engines.
+#: Ratio up to which two event intervals count as equal.
+_INTERVAL_TOLERANCE = 1.02
+#: Ratio to the smallest event interval above which an engine counts as slow; larger
+#: than the differences between healthy engines.
 _SLOW_RATIO = 1.6
 #: Time that a move costs a text, in seconds: prefill of the prompt, the wait for an
 #: event in progress at the other engine, and a new connection.
@@ -28,8 +28,8 @@
 #: Multiple of its cost that a move must be expected to gain, since the text's length
 #: and the other engine's speed are estimates.
 _MOVE_MARGIN = 3.0
-#: Minimum ratio of the current gap to the other engine's; larger than the differences
-#: between engines of one kind, which change with their load.
+#: Minimum ratio of the current engine's event interval to the other's; larger than the
+#: load-dependent differences between engines of one kind.
 _MIN_SPEEDUP = 1.15
 
 
@@ -41,8 +41,8 @@
     :param name: Id of the engine.
     :param running: Number of items that this node runs there.
     :param long_running: Number of those items whose text is long.
-    :param gap: Recent time between two events of a stream there, in seconds; none if
-        unknown.
+    :param gap: Recent event interval there, that is, the time between two events of a
+        stream, in seconds; `None` if unknown.
     """
 
     name: str
@@ -60,8 +60,8 @@
     A long text goes to the fastest engine; of equally fast ones, to the least loaded.
     A short text goes to the engine with the fewest long texts that is not slow.
 
-    :param best_gap: Smallest gap of all engines of the pool, in seconds; none if
-        unknown.
+    :param best_gap: Smallest event interval of all engines of the pool, in seconds;
+        `None` if unknown.
     :param is_long: Whether the item's text is expected to be long.
     """
     if not candidates:
@@ -72,7 +72,9 @@
         return candidate.gap / best_gap if candidate.gap and best_gap else 1.0
 
     def long_key(candidate: PlacementCandidate) -> tuple[float, ...]:
-        slowness_step = round(math.log(max(slowness(candidate), 1.0), _GAP_TOLERANCE))
+        slowness_step = round(
+            math.log(max(slowness(candidate), 1.0), _INTERVAL_TOLERANCE)
+        )
         return slowness_step, candidate.long_running, candidate.running
 
     def short_key(candidate: PlacementCandidate) -> tuple[float, ...]:
@@ -95,8 +97,8 @@
     of speed.
 
     :param events_left: Expected number of further events.
-    :param gap: Time between two events at the current engine, in seconds.
-    :param other_gap: Time between two events at the other engine, in seconds.
+    :param gap: Event interval at the current engine, in seconds.
+    :param other_gap: Event interval at the other engine, in seconds.
     :param moves: Number of earlier moves to a faster engine.
     """
     gained = events_left * (gap - other_gap)
--- a/packages/saddledoor/src/saddledoor/_job_fold.py
+++ b/packages/saddledoor/src/saddledoor/_job_fold.py
@@ -36,7 +36,7 @@
 
     :param count: Number of events, from the first one on without gaps.
     :param versions: Weight versions that made the events, in order of appearance.
-    :param chain: Id of the run that made the last event; empty without events.
+    :param chain: Id of the run that made the last event, as in `TextSegment`.
     :param parts: Where the events are stored, in order.
     """
 
@@ -51,7 +51,7 @@
     """
     A job and its state in the log.
 
-    :param order: Position of the job among all jobs, from 1.
+    :param position: Position of the job among all jobs, from 1.
     :param first_seen_at: When this process first read of the job, monotonic, in
         seconds; the job is at least that old.
     :param items: Items by id, in the job's order; none before this node has read them.
@@ -63,7 +63,7 @@
     """
 
     job: JobOpened
-    order: int
+    position: int
     first_seen_at: float
     items: dict[str, JobItem] | None = None
     results: list[ItemResult] = field(default_factory=list)
@@ -189,11 +189,11 @@
 
 def _extend_checkpoint(state: JobState, record: ItemCheckpoint) -> None:
     """
-    Extend an item's checkpoint by events that directly follow it in the same chain.
+    Extend an item's checkpoint by events that directly follow its last event.
 
     Two nodes may run an item concurrently from the same checkpoint. Their events must
-    not be mixed even if the numbers fit, hence the comparison of chains. A record that
-    starts at the first event replaces a shorter checkpoint.
+    not be mixed even if the numbers fit, so the ids of the runs are compared too. A
+    record that starts at the first event replaces a shorter checkpoint.
     """
     before = state.kept.get(record.item_id, CheckpointedText())
     if state.ended or record.item_id in state.listed:
--- a/packages/saddledoor/src/saddledoor/_job_records.py
+++ b/packages/saddledoor/src/saddledoor/_job_records.py
@@ -151,7 +151,7 @@
     return None if workspace is None else _require_str(workspace)
 
 
-def _decode_listed(
+def _decode_result(
     job_id, item_id, done, versions, score, *location
 ) -> ItemResultRecorded:
     result = ItemResult(
@@ -173,7 +173,7 @@
     )
 
 
-def _decode_kept(
+def _decode_checkpoint(
     job_id, item_id, first, count, follows, chain, versions, *location
 ) -> ItemCheckpoint:
     return ItemCheckpoint(
@@ -194,9 +194,9 @@
 
 _DECODERS = {
     "o": _decode_opened,
-    "r": _decode_listed,
+    "r": _decode_result,
     "f": _decode_failed,
-    "k": _decode_kept,
+    "k": _decode_checkpoint,
     "e": _decode_ended,
 }
 
@@ -219,7 +219,7 @@
             _require_str(event) for event in _require_list(msgpack.unpackb(data))
         )
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise UndecodableRecordError(f"kept events: {error!r}") from None
+        raise UndecodableRecordError(f"checkpointed events: {error!r}") from None
 
 
 def encode_job_items(items: tuple[JobItem, ...]) -> bytes:
--- a/packages/saddledoor/src/saddledoor/_jobs.py
+++ b/packages/saddledoor/src/saddledoor/_jobs.py
@@ -48,7 +48,7 @@
     :param group: Group of items that share a prompt; empty without groups.
     :param score: Request that scores the text; none if it is not scored.
     :param expected_tokens: The trainer's estimate of the answer's length, in tokens;
-        inaccurate for a single item, right at the median; 0 if there is none.
+        accurate only as a median over many items; 0 if there is none.
     """
 
     item_id: str
@@ -103,7 +103,7 @@
 
     :param done: False if the item was given up; the following fields are empty then.
     :param versions: Every weight version that made an event of the text.
-    :param score: The mark in the scoring call's answer.
+    :param score: The score in the scoring call's answer.
     """
 
     item_id: str
@@ -189,9 +189,9 @@
 @dataclass(frozen=True)
 class ItemFailed:
     """
-    Record of an engine's answer that an item failed.
+    Record of a failed run, or a failed scoring call, of an item.
 
-    :param failure_id: Id of this answer, so that a repeated append counts once.
+    :param failure_id: Id of this failure, so that a repeated append counts once.
     :param scoring: Whether the scoring call failed.
     """
 
@@ -208,8 +208,9 @@
 
     :param first: Number of the first event in this record.
     :param count: Number of events in this record.
-    :param follows: Chain of the event before the first; empty for the first event.
-    :param chain: Id of the run that made the events.
+    :param follows: Id of the run that made the event before the first one of this
+        record; empty if there is none.
+    :param chain: Id of the run that made the last event, as in `TextSegment`.
     :param versions: Weight versions that made any part of the text so far.
     :param text: Location of the events in the form of `encode_events`.
     """
--- a/packages/saddledoor/src/saddledoor/_text_lengths.py
+++ b/packages/saddledoor/src/saddledoor/_text_lengths.py
@@ -13,8 +13,8 @@
 
 __all__ = ["TextLengthEstimator"]
 
-#: Share of the texts with the largest estimates that count as long. It is larger than
-#: the share of long texts, since the estimates are inaccurate.
+#: Share of the texts that count as long: those with the largest estimates. It is larger
+#: than the share of long texts, since the estimates are inaccurate.
 _LONG_SHARE = 1 / 6
 #: Number of the latest texts that estimates are based on.
 _HISTORY_SIZE = 256
@@ -58,7 +58,7 @@
         """
         if expected_tokens > 0 and events > 0:
             self._ratios.append(expected_tokens / events)
-            # The median, since trainers' estimates are right at the median.
+            # The median, since the trainer's estimate of a single text may be far off.
             self._tokens_per_event = median(self._ratios)
 
     def remaining_events(self, expected_tokens: int, events_so_far: int) -> float:
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -87,14 +87,14 @@
     Guard(
         "an entry of an earlier incarnation is ignored",
         f"{LIBRARY}/_engine_directory.py",
-        "if is_outdated and engine_id not in self._outdated_ignored:",
+        "if is_outdated and engine_id not in self._ids_with_ignored_entry:",
         "if False:",
         (INCARNATIONS, "earlier_life_is_passed_over"),
     ),
     Guard(
         "a wrong start time does not exclude an engine",
         f"{LIBRARY}/_engine_directory.py",
-        "if is_outdated and engine_id not in self._outdated_ignored:",
+        "if is_outdated and engine_id not in self._ids_with_ignored_entry:",
         "if is_outdated:",
         (INCARNATIONS, "shut_an_engine_out"),
     ),
--- a/tests/test_asking_again.py
+++ b/tests/test_asking_again.py
@@ -40,7 +40,7 @@
     """
     Return attempts that ended at 10.0, except those that still run.
     """
-    attempts = EngineAttempts(**({"most": 3, "repeatable": True} | changes))
+    attempts = EngineAttempts(**({"max_attempts": 3, "repeatable": True} | changes))
     for engine, end in ends:
         attempt = attempts.begin(engine)
         if end is not AttemptOutcome.RUNNING:
