--- a/packages/saddledoor/src/saddledoor/__init__.py
+++ b/packages/saddledoor/src/saddledoor/__init__.py
@@ -1,10 +1,13 @@
 # SPDX-License-Identifier: MIT
 
 """
-Decision logic of a rollout service, without I/O, clocks or randomness.
+Decision logic of saddledoor, without I/O, clocks or randomness.
 
 Time, random values and messages are passed as arguments, so that every decision can be
 tested, replayed and embedded.
+
+The library holds two models of a configuration: `Deployment`, the project's own
+deployment file, and `GatewayConfig`, the configuration of the gateway.
 """
 
 from __future__ import annotations
--- a/packages/saddledoor/src/saddledoor/_burn.py
+++ b/packages/saddledoor/src/saddledoor/_burn.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 
 """
-Service-level objectives: counts good and bad events, and computes burn rates.
+Service-level objectives: counts of good and bad events, and burn rates.
 
 VMs have no persistent storage, so each process writes its running totals to the log
-periodically. A later total includes those of a lost record. Events that a process
-counted between its last record and a crash are a gap, and never count as good.
+periodically. Totals only grow, so a later record makes up for a lost one. Events that a
+process counted between its last record and a crash are a gap, and never count as good.
 Source: multi-window burn rates of the site reliability literature.
 """
 
@@ -75,7 +75,7 @@
     """
     A period in which the events of a process were not recorded.
 
-    :param since: Time of the process's last record, in seconds since 1970.
+    :param since: Time of the process's last record, in Unix seconds.
     """
 
     data_centre: str
@@ -116,21 +116,19 @@
     """
     Evaluate every objective over the window that ends now.
 
-    :param records: Log time in seconds since 1970 and record, oldest first.
+    :param records: Log time in Unix seconds and record, oldest first.
     :param window: Length of the window, in seconds.
-    :param now: Time in seconds since 1970.
+    :param now: Time in Unix seconds.
     """
-    counts_by_place = _sum_events_after(records, now - window)
+    counts_by_key = _sum_events_after(records, now - window)
     rows = []
     for objective in objectives:
-        subjects = sorted(
-            {s for name, s, _ in counts_by_place if name == objective.name}
-        )
+        subjects = sorted({s for name, s, _ in counts_by_key if name == objective.name})
         for subject in subjects:
             counts = {
                 data_centre: count
-                for (name, who, data_centre), count in counts_by_place.items()
-                if (name, who) == (objective.name, subject)
+                for (name, subject_name, data_centre), count in counts_by_key.items()
+                if (name, subject_name) == (objective.name, subject)
             }
             rows.append(_make_row(objective, subject, window, counts))
     return rows
@@ -167,19 +165,19 @@
         for key, counts in record.totals.items():
             target = before if at < start else after
             target[(record.incarnation, key)] = counts
-    counts_by_place: dict[tuple[str, str, str], tuple[int, int]] = defaultdict(
+    counts_by_key: dict[tuple[str, str, str], tuple[int, int]] = defaultdict(
         lambda: (0, 0)
     )
     for (incarnation, key), (good, total) in after.items():
         good_before, total_before = before.get((incarnation, key), (0, 0))
         name, _, subject = key.partition("|")
-        place = (name, subject, data_centres[incarnation])
-        place_counts = counts_by_place[place]
-        counts_by_place[place] = (
-            place_counts[0] + good - good_before,
-            place_counts[1] + total - total_before,
+        row_key = (name, subject, data_centres[incarnation])
+        key_counts = counts_by_key[row_key]
+        counts_by_key[row_key] = (
+            key_counts[0] + good - good_before,
+            key_counts[1] + total - total_before,
         )
-    return dict(counts_by_place)
+    return dict(counts_by_key)
 
 
 def _make_row(
--- a/packages/saddledoor/src/saddledoor/_claims.py
+++ b/packages/saddledoor/src/saddledoor/_claims.py
@@ -19,7 +19,7 @@
 
 def key_digest(partner: str, service: str, key: str) -> str:
     """
-    Return the digest of a caller's key, distinct for each partner and service.
+    Return the digest of an idempotency key, distinct for each partner and service.
     """
     text = "\x00".join((partner, service, key))
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
@@ -68,10 +68,10 @@
         if offset < self._next_offset:
             return
         self._next_offset = offset + 1
-        self._forget_expired(logged_at)
+        self._drop_expired(logged_at)
         match record:
             case ClaimBatch():
-                self._apply_claim(record, logged_at)
+                self._apply_batch(record, logged_at)
             case ClaimRelease():
                 self._apply_release(record)
 
@@ -82,7 +82,7 @@
         entry = self._owners.get(key)
         return entry[0] if entry else None
 
-    def _apply_claim(self, batch: ClaimBatch, logged_at: float) -> None:
+    def _apply_batch(self, batch: ClaimBatch, logged_at: float) -> None:
         for claim in batch.claims:
             self._owners.setdefault(claim.key, (claim, logged_at))
 
@@ -91,7 +91,7 @@
         if claim is not None and claim.claim_id == record.claim_id:
             del self._owners[record.key]
 
-    def _forget_expired(self, logged_at: float) -> None:
+    def _drop_expired(self, logged_at: float) -> None:
         for key in list(_keys_logged_before(self._owners, logged_at - self._retention)):
             del self._owners[key]
 
@@ -109,7 +109,7 @@
 @dataclass
 class IssuedKey:
     """
-    A key that this VM issued.
+    An idempotency key that this process issued.
 
     :param partner: The only partner that may use it.
     """
@@ -120,10 +120,11 @@
 
 class IssuedKeys:
     """
-    Keys issued by this process, which name it as their issuer.
+    Idempotency keys issued by this process, which name it as their issuer.
 
-    They need no log: each incarnation is unique, so the memory of the issuing process
-    decides whether a key was used. A key that it does not know counts as used.
+    The use of these keys is not logged: each incarnation is unique, so the memory of
+    the issuing process decides whether a key was used. A key that it does not know
+    counts as used.
 
     :param incarnation: Unique name of this process.
     :param capacity: Maximum number of keys; beyond it the oldest ones are dropped.
--- a/packages/saddledoor/src/saddledoor/_config_fold.py
+++ b/packages/saddledoor/src/saddledoor/_config_fold.py
@@ -19,10 +19,11 @@
 
 __all__ = ["NO_BASE", "AcceptedConfig", "ConfigFold", "ActiveConfig", "PublishResult"]
 
-#: Base of a proposal that expects that no configuration has been accepted yet.
+#: Stands for the offset of a configuration where there is none, for example the base
+#: of a first proposal.
 NO_BASE = -1
 
-#: Maximum number of publications whose result is kept for their author.
+#: Maximum number of proposals whose result is kept for their author.
 _MAX_RESULTS = 256
 
 
@@ -66,7 +67,7 @@
     :param next_offset: Offset of the next record to fold.
     :param synced: Whether ``accepted`` includes every record below ``next_offset``.
     :param pending: Proposals without a verdict, by offset.
-    :param results: Offset and result of the newest publications, by record id.
+    :param results: Offset and result of the newest proposals, by record id.
     :param buffered_records: Offsets and records that await a snapshot.
     :param first_offset: Oldest offset that the log had when the node started.
     """
@@ -90,7 +91,8 @@
         """
         Fold one record; one that was folded before has no effect.
 
-        :param offset: Offset of the record; the caller skips none that the log has.
+        :param offset: Offset of the record; the caller passes every record that the log
+            still has, in order.
         """
         if offset < self.next_offset:
             return self
@@ -106,7 +108,7 @@
 
     def result_of(self, record_id: str) -> tuple[int, PublishResult] | None:
         """
-        Return offset and result of a publication, or None if it is unknown.
+        Return offset and result of a proposal, or None if it is unknown.
         """
         return self.results.get(record_id)
 
@@ -181,7 +183,7 @@
 def _record_result(
     state: ConfigFold, offset: int, proposal: ConfigProposal, result: PublishResult
 ) -> ConfigFold:
-    # The log may hold a publication twice if its append was repeated. If one of the two
+    # The log may hold a proposal twice if its append was repeated. If one of the two
     # was accepted, that is the result.
     known = state.results.get(proposal.record_id)
     if known is not None and known[1].state == "accepted":
--- a/packages/saddledoor/src/saddledoor/_delivery.py
+++ b/packages/saddledoor/src/saddledoor/_delivery.py
@@ -225,7 +225,7 @@
         Answer a fetch.
 
         The samples of a batch stay ready until the trainer confirms its number. The
-        slots of a lost batch are sent again, after a new check of their staleness.
+        samples of a lost batch are sent again unless they have become too old.
         """
         matched = request.fence == self.fence and self._accept_cursor(request.cursor)
         if not matched:
--- a/packages/saddledoor/src/saddledoor/_deployment.py
+++ b/packages/saddledoor/src/saddledoor/_deployment.py
@@ -190,7 +190,7 @@
 
     def covers(self, subject: str) -> bool:
         """
-        Tell whether the objective counts events of a subject.
+        Return whether the objective counts events of a subject.
         """
         return self.subject in ("", subject)
 
--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -33,12 +33,14 @@
 
     :param lame_duck: How long the VM keeps serving after the request to stop, in
         seconds.
-    :param limit: Longest wait after that for requests in flight, in seconds.
+    :param limit: Longest wait for requests in flight after the lame duck time, in
+        seconds.
     :param stop_requested_at: Time of the first stop signal, monotonic, in seconds; none
         before.
     :param stop_requested_twice: Whether a second signal came, which stops the VM at
         once.
-    :param handed_over: Whether leases and finished samples were handed to a peer.
+    :param handed_over: Whether leases and finished samples were handed to a peer; set
+        by the caller.
     :param stopped: Whether the process is ending.
     """
 
--- a/packages/saddledoor/src/saddledoor/_labels.py
+++ b/packages/saddledoor/src/saddledoor/_labels.py
@@ -51,14 +51,14 @@
 
 def is_fully_labelled(runs: Iterable[VersionRun], tokens: int) -> bool:
     """
-    Tell whether the runs cover exactly ``tokens`` tokens.
+    Return whether the runs cover exactly ``tokens`` tokens.
     """
     return sum(run.last - run.first + 1 for run in runs) == tokens
 
 
 def is_fresh(runs: tuple[VersionRun, ...], trainer_version: int, bound: int) -> bool:
     """
-    Tell whether the *oldest* run of a sample is within the staleness bound.
+    Return whether the *oldest* run of a sample is within the staleness bound.
 
     :param trainer_version: Version that the trainer sent with this fetch.
     :param bound: Staleness bound, in weight versions.
--- a/packages/saddledoor/src/saddledoor/_leases.py
+++ b/packages/saddledoor/src/saddledoor/_leases.py
@@ -125,7 +125,9 @@
 
     def observe(self, lease: Lease | None, now: float) -> None:
         """
-        Record the newest renewal; the wait starts when this node has *read* it.
+        Record the newest renewal.
+
+        The wait before a takeover starts when this node has *read* the renewal.
 
         :param now: Monotonic time that includes suspension of the VM, in seconds.
         """
@@ -136,7 +138,7 @@
 
     def may_claim(self, lease: Lease | None, now: float) -> bool:
         """
-        Tell whether a claim may be appended now.
+        Return whether a claim may be appended now.
         """
         self.observe(lease, now)
         if lease is None or lease.released:
@@ -159,6 +161,6 @@
 
     def may_act(self, now: float, margin: float = 0.0) -> bool:
         """
-        Tell whether an action that takes up to ``margin`` seconds may start now.
+        Return whether an action that takes up to ``margin`` seconds may start now.
         """
         return now + margin < self.deadline
--- a/packages/saddledoor/src/saddledoor/_members.py
+++ b/packages/saddledoor/src/saddledoor/_members.py
@@ -41,8 +41,10 @@
     """
     State that one VM publishes about itself.
 
-    :param started: When its process started, in milliseconds since 1970.
+    :param started: When its process started, in Unix milliseconds.
     :param seq: Number of the entry; increases with each published change.
+    :param http: Address for callers.
+    :param grpc: Peer address for VMs of the same data centre.
     :param state: ``serving``, ``draining`` or ``stopped``.
     :param config_offset: Offset of its active configuration.
     :param reports: Back ends that it polls.
--- a/packages/saddledoor/src/saddledoor/_queueing.py
+++ b/packages/saddledoor/src/saddledoor/_queueing.py
@@ -156,7 +156,7 @@
         return WorkClass.TRAINING if training_due else WorkClass.INTERACTIVE
 
     def _reset_idle(self, work: WorkClass) -> None:
-        # An empty queue owes no partner any service.
+        # Once the queue is empty, earlier use no longer counts against a partner.
         self._last_finish = {
             k: v for k, v in self._last_finish.items() if k[0] is not work
         }
--- a/packages/saddledoor/src/saddledoor/_records.py
+++ b/packages/saddledoor/src/saddledoor/_records.py
@@ -48,7 +48,7 @@
     """
     A complete deployment file that an operator proposes as the configuration.
 
-    :param record_id: Identifier of the publication, the same in a repeated append.
+    :param record_id: Identifier of the proposal, the same in a repeated append.
     :param base: Offset of the accepted configuration that was edited; -1 for none.
     :param document: Canonical form of the file, packed by `pack_document`.
     """
@@ -146,7 +146,7 @@
     """
     Claim of one key in a batch.
 
-    :param key: Digest of partner, service and the caller's key.
+    :param key: Digest of partner, service and idempotency key.
     :param claim_id: Identifier of the claim.
     :param owner: Incarnation of the VM that would run the request.
     """
@@ -226,7 +226,7 @@
 @dataclass(frozen=True)
 class UsageCounted:
     """
-    Requests that started at one process in a time window.
+    Requests counted by one process: those that an engine began to run in a time window.
 
     :param source: Identifier of the process.
     :param window: Number of the window.
--- a/packages/saddledoor/src/saddledoor/_replay.py
+++ b/packages/saddledoor/src/saddledoor/_replay.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Replays a recorded trace against the library and checks the promises that it states.
+Replays a recorded trace against the library and checks the expected promises.
 
 A check receives each event in order and reports a violation. For an event that records
 a decision of a node, the check repeats the decision from the recorded inputs.
--- a/packages/saddledoor/src/saddledoor/_replay_decided.py
+++ b/packages/saddledoor/src/saddledoor/_replay_decided.py
@@ -31,7 +31,9 @@
 
 __all__ = ["at_most_once", "configuration", "exactly_once"]
 
+#: Batch number of a resync, and offset of a node without a configuration.
 _MISSING = -1
+#: Retention of keys, in seconds; longer than any trace.
 _RETENTION = 1e9
 
 
@@ -40,7 +42,7 @@
     Claims are decided as the log says, and a key's calls ran at most once.
     """
     folds: dict[tuple[str, str], ClaimFold] = {}
-    exclusive_keys: dict[str, str] = {}
+    unrepeatable_keys: dict[str, str] = {}
     runs: Counter[str] = Counter()
 
     def on_event(traced: TracedEvent) -> str | None:
@@ -58,12 +60,12 @@
                 if owner is None or owner.claim_id != event.owner:
                     return f"key {event.key} is not owned by claim {event.owner}"
             case HandedOver() as event:
-                exclusive_keys[event.request_id] = event.once
+                unrepeatable_keys[event.request_id] = event.once
             case CallRan() as event:
-                exclusive_key = exclusive_keys.get(event.request_id, "")
-                runs[exclusive_key] += bool(exclusive_key)
-                if runs[exclusive_key] > 1:
-                    return f"{exclusive_key} ran {runs[exclusive_key]} times"
+                unrepeatable_key = unrepeatable_keys.get(event.request_id, "")
+                runs[unrepeatable_key] += bool(unrepeatable_key)
+                if runs[unrepeatable_key] > 1:
+                    return f"{unrepeatable_key} ran {runs[unrepeatable_key]} times"
         return None
 
     return Check(on_event)
--- a/packages/saddledoor/src/saddledoor/_replay_observed.py
+++ b/packages/saddledoor/src/saddledoor/_replay_observed.py
@@ -32,8 +32,9 @@
     "whole_answer",
 ]
 
-#: Time after which no node may send new work to a leaving back end, in seconds.
-LEAVING_GRACE = 5.0
+#: How long nodes may still send new work to a back end after a node has learned that
+#: it is leaving, in seconds.
+_LEAVING_GRACE = 5.0
 
 
 def labels() -> Check:
@@ -132,7 +133,7 @@
                 if (traced.node, backend) in marked_at:
                     return f"sent new work to {backend}, known to be leaving"
                 delay = traced.at - first_marked_at.get(backend, traced.at)
-                if delay > LEAVING_GRACE:
+                if delay > _LEAVING_GRACE:
                     return f"sent new work to {backend} {delay:.1f} s after the mark"
         return None
 
--- a/packages/saddledoor/src/saddledoor/_route_table.py
+++ b/packages/saddledoor/src/saddledoor/_route_table.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Pass-through routes: which service a request goes to, and whether it is repeatable.
+Routes of the gateway: which service a request goes to, and whether it is repeatable.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
     :param single_version: Whether a sample must come from one weight version.
     :param max_item_age: Age at which an item of a job may be given up, in seconds;
         none if items are never given up.
-    :param needs_key: Whether a request needs a workspace's key, if workspaces are
+    :param needs_key: Whether a request needs a workspace's API key, if workspaces are
         configured.
     """
 
@@ -126,7 +126,7 @@
 @dataclass(frozen=True)
 class GatewayConfig:
     """
-    A complete configuration of the pass-through.
+    A complete configuration of the gateway.
 
     :param version: Increases with each configuration, not always by one.
     :param workspaces: Workspaces whose keys are accepted; none if requests need no key.
--- a/packages/saddledoor/src/saddledoor/_routing.py
+++ b/packages/saddledoor/src/saddledoor/_routing.py
@@ -75,7 +75,9 @@
 
 def least_reported() -> RoutingPolicy:
     """
-    Return a policy that uses reported load only; a baseline that herds on old reports.
+    Return a policy that uses reported load only; a baseline.
+
+    All nodes choose the same candidate while reports are old.
     """
 
     def choose(candidates: Sequence[Candidate]) -> Candidate:
@@ -89,8 +91,8 @@
     Return a policy that chooses the candidate with the fewest requests of this node in
     flight, relative to its slots.
 
-    A node's own count is exact and up to date, so nodes do not herd. Ties, which are
-    common at low load, are broken at random.
+    A node's own count is exact and up to date, so nodes do not all choose the same
+    candidate. Ties, which are common at low load, are broken at random.
     Source: the least-outstanding-requests policy of load balancers; the reasons for it
     are in docs/design/choice-of-engine.md.
 
--- a/packages/saddledoor/src/saddledoor/_step_order.py
+++ b/packages/saddledoor/src/saddledoor/_step_order.py
@@ -37,7 +37,7 @@
     """
     Return the oldest weight version with which an engine may get a sample.
 
-    :param version: The version that the trainer named last.
+    :param version: The version that the trainer announced last.
     :param bound: The trainer's staleness bound, in versions.
     :param preference: ``idle`` accepts any engine within the bound; ``staleness`` waits
         for an engine that is up to date.
--- a/packages/saddledoor/src/saddledoor/_swaps.py
+++ b/packages/saddledoor/src/saddledoor/_swaps.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Decides which orders to swap weights a data centre's engines receive next.
+Chooses the next weight orders (stage, activate) for the engines of a data centre.
 """
 
 from __future__ import annotations
--- a/packages/saddledoor/src/saddledoor/_trace.py
+++ b/packages/saddledoor/src/saddledoor/_trace.py
@@ -37,14 +37,16 @@
     "TracedEvent",
 ]
 
-Run = tuple[int, int, int]
-SlotPair = tuple[int, int]
+#: Version, first and last token index of a `VersionRun`.
+RunTuple = tuple[int, int, int]
+#: Group and index of a `Slot`.
+SlotTuple = tuple[int, int]
 
 
 @dataclass(frozen=True)
 class NodeStarted:
     """
-    A daemon's process started, with empty memory.
+    A node's process started, with empty memory.
     """
 
     kind: Literal["node_began"] = "node_began"
@@ -122,6 +124,7 @@
     """
     A node returned the final outcome of a call.
 
+    :param request_id: Identifier of the request, without the number of an attempt.
     :param code: Numeric result code.
     """
 
@@ -134,6 +137,8 @@
 class CallRan:
     """
     A service reports that it ran a call.
+
+    :param request_id: As in `HandedOver`.
     """
 
     backend: str
@@ -154,7 +159,7 @@
     attempt_id: str
     asked: int
     parts: tuple[tuple[int, int], ...]
-    runs: tuple[Run, ...] | None
+    runs: tuple[RunTuple, ...] | None
     kind: Literal["streamed"] = "streamed"
 
 
@@ -172,8 +177,8 @@
     step: int
     fence: int
     bound: int
-    slots: tuple[SlotPair, ...]
-    received: tuple[SlotPair, ...]
+    slots: tuple[SlotTuple, ...]
+    received: tuple[SlotTuple, ...]
     reopened: bool
     kind: Literal["step_opened"] = "step_opened"
 
@@ -186,9 +191,9 @@
 
     trainer: str
     step: int
-    slot: SlotPair
+    slot: SlotTuple
     tokens: int
-    runs: tuple[Run, ...]
+    runs: tuple[RunTuple, ...]
     kind: Literal["sample_added"] = "sample_added"
 
 
@@ -221,7 +226,7 @@
     version: int
     limit: int
     number: int
-    slots: tuple[SlotPair, ...]
+    slots: tuple[SlotTuple, ...]
     kind: Literal["fetched"] = "fetched"
 
 
@@ -239,10 +244,10 @@
 
     trainer: str
     step: int
-    slot: SlotPair
+    slot: SlotTuple
     asked: int
     made: tuple[int, ...]
-    runs: tuple[Run, ...]
+    runs: tuple[RunTuple, ...]
     version: int
     bound: int
     kind: Literal["kept"] = "kept"
--- a/packages/saddledoor/src/saddledoor/_usage.py
+++ b/packages/saddledoor/src/saddledoor/_usage.py
@@ -22,8 +22,8 @@
 _MAX_CORRECTION = 0.2
 #: Number of windows whose counts a VM keeps; older windows are no longer reported.
 _MAX_WINDOWS = 24
-#: Shares of the time between a window's end and the due time of its report: when VMs
-#: close the window to new counts, and until when counts of other VMs are awaited.
+#: When a VM closes a window to new counts, and until when it awaits the counts of other
+#: VMs, as shares of the time from the window's end to the due time of its report.
 _CLOSE_SHARE, _WAIT_SHARE = 0.2, 0.6
 #: Number of preceding windows whose sources are expected to report on a window.
 _ACTIVE_SOURCE_WINDOWS = 3
@@ -55,7 +55,7 @@
 
     def last_wait_expired(self, unix_time: float) -> int:
         """
-        Return the newest window that is decided even if counts are missing.
+        Return the newest window whose missing counts are no longer awaited.
         """
         return self.of(unix_time - _WAIT_SHARE * self.due_after) - 1
 
@@ -109,7 +109,7 @@
     """
 
     _counts: dict[int, dict[tuple[str, str], int]] = field(default_factory=dict)
-    _complete_sources: dict[int, set[str]] = field(default_factory=dict)
+    _closed_by: dict[int, set[str]] = field(default_factory=dict)
     _decided: dict[int, dict[str, int]] = field(default_factory=dict)
 
     @property
@@ -136,14 +136,14 @@
         match record:
             case UsageCounted(source=source, window=window, counts=counts):
                 if record.whole:
-                    self._complete_sources.setdefault(window, set()).add(source)
+                    self._closed_by.setdefault(window, set()).add(source)
                 known = self._counts.setdefault(window, {})
                 for workspace, count in counts.items():
                     key = (source, workspace)
                     known[key] = max(known.get(key, 0), count)
             case UsageDecided(window=window, counts=counts):
                 self._decided.setdefault(window, dict(counts))
-        self._forget()
+        self._drop_old()
 
     def counted(self, window: int) -> dict[str, int]:
         """
@@ -156,12 +156,12 @@
 
     def is_complete(self, window: int) -> bool:
         """
-        Return whether the final counts of a window are known from every source that
-        closed one of the preceding windows; false if there are no such sources.
+        Return whether every source that closed one of the preceding windows has closed
+        this window too; false if there are no such sources.
         """
         before = range(window - _ACTIVE_SOURCE_WINDOWS, window)
-        expected = set().union(*(self._complete_sources.get(w, set()) for w in before))
-        return bool(expected) and expected <= self._complete_sources.get(window, set())
+        expected = set().union(*(self._closed_by.get(w, set()) for w in before))
+        return bool(expected) and expected <= self._closed_by.get(window, set())
 
     def decided(self, window: int) -> dict[str, int] | None:
         """
@@ -169,8 +169,8 @@
         """
         return self._decided.get(window)
 
-    def _forget(self) -> None:
-        for table in (self._counts, self._decided, self._complete_sources):
+    def _drop_old(self) -> None:
+        for table in (self._counts, self._decided, self._closed_by):
             while len(table) > 2 * _MAX_WINDOWS:
                 del table[min(table)]
 
@@ -192,7 +192,7 @@
 
     def count(self, workspace: str, window: int) -> None:
         """
-        Count a request that began in a window.
+        Count a request that an engine began to run in a window.
         """
         counts = self._counts.setdefault(window, {})
         counts[workspace] = counts.get(workspace, 0) + 1
@@ -204,7 +204,7 @@
 
     def close(self, last: int) -> None:
         """
-        Close all windows up to and including one to new counts.
+        Close all windows up to and including ``last`` to new counts.
         """
         first = max(self._last_closed + 1, last - _MAX_WINDOWS + 1)
         self._newly_closed.update(range(first, last + 1))
@@ -231,7 +231,7 @@
 
     def requeue(self, records: list[UsageCounted]) -> None:
         """
-        Include records in the next `take` that may not have reached the log.
+        Return records that may not have reached the log again from the next `take`.
         """
         for record in records:
             if record.whole:
--- a/packages/saddledoor/src/saddledoor/_weight_loads.py
+++ b/packages/saddledoor/src/saddledoor/_weight_loads.py
@@ -21,8 +21,8 @@
 #: Share of a model's engines that load a new version. The others keep serving steps
 #: that allow an older version, and load the next one.
 _NEWEST_SHARE = 0.5
-#: Maximum share of a pool's engines that load at a time, rounded down. The platform
-#: slows down all loads beyond a number of concurrent ones.
+#: Maximum share of a pool's engines that load at a time, rounded down. Beyond a
+#: certain number of concurrent loads, the platform slows all of them down.
 _CONCURRENT_LOAD_SHARE = 0.4
 
 
@@ -32,7 +32,7 @@
     Weights of one model in a pool.
 
     :param models: All models of the pool, in the same order on every node.
-    :param named: Version that the trainer named last.
+    :param named: Version that the trainer announced last.
     :param oldest_allowed: Oldest version that the newest job allows.
     :param versions: Version at each engine of the pool, including one that is being
         loaded.
@@ -56,8 +56,8 @@
     """
     Return the engines that follow a model's versions.
 
-    Half of them have the newest version and half the previous one. With three or more
-    models each engine follows two models on average, to bound the number of loads.
+    `plan_weight_loads` keeps about half of them at the newest version. With three or
+    more models each engine follows two models on average, to bound the number of loads.
 
     Engines with the newest versions are selected first, so that an engine that joins
     or leaves starts no load elsewhere. Otherwise each model starts at a different
--- a/packages/saddledoor/src/saddledoor/_workspaces.py
+++ b/packages/saddledoor/src/saddledoor/_workspaces.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Admission of callers by key, and the workspace that a request belongs to.
+Admission of callers by API key, and the workspace that a request belongs to.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 __all__ = ["Admitted", "KeyFreshnessBounds", "Workspace", "WorkspaceTable", "admit"]
 
-#: ``Retry-After`` for a caller whose key this VM cannot judge, in seconds.
+#: ``Retry-After`` for a caller whose key this VM cannot check, in seconds.
 _RETRY_AFTER = 0.1
 
 
@@ -125,12 +125,12 @@
     Decide whether a request may be served, by its key.
 
     A VM whose keys are out of date serves the keys that it knows, unless revocation has
-    a time limit. It does not refuse an unknown key as unknown, because other VMs may
-    know the key and the caller would not ask them.
+    a time limit. It answers an unknown key with `KEYS_UNSURE`, not `UNAUTHENTICATED`,
+    so that the caller asks another VM, which may know the key.
 
     :param table: Table of the newest configuration; none if it has no workspaces.
     :param needs_key: Whether the route requires a key.
-    :param key: The caller's key; empty if it sent none.
+    :param key: The caller's API key; empty if it sent none.
     :param age: Time since this VM last had the newest configuration, in seconds.
     """
     if table is None:
