--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Guards of engines: their lives, weights and orders, and which one an item goes to.
+Guards of engines: their incarnations, weights and orders, and the placement of items.
 """
 
 from __future__ import annotations
--- a/tests/proofs/leaving.py
+++ b/tests/proofs/leaving.py
@@ -3,7 +3,7 @@
 """
 An engine that is leaving receives no new work after a few seconds.
 
-Off: a node believes the report that reached it last, not the newest one.
+Without the mechanism, a node uses the report that arrived last, not the newest one.
 """
 
 from __future__ import annotations
--- a/tests/test_engine_crash_fold.py
+++ b/tests/test_engine_crash_fold.py
@@ -63,7 +63,7 @@
 
 def test_those_that_were_only_there_are_free_once_the_cause_is_known():
     """
-    Also a request that was in flight at three crashes.
+    Other requests become clean, even one that was in flight at three crashes.
     """
     fold = _fold_of_crashes("abc", "ab", "abd", "a")
     assert _statuses(fold, "abcd") == [
@@ -74,7 +74,7 @@
 
 def test_of_two_that_were_always_together_neither_is_barred():
     """
-    The culprit is known only after one of them ran without the other.
+    The poison request is known only after one of them ran without the other.
     """
     fold = _fold_of_crashes("ab", "ab", "ab")
     assert _statuses(fold, "ab") == [PoisonStatus.AMBIGUOUS] * 2
@@ -82,9 +82,9 @@
     assert _statuses(fold, "ab") == [PoisonStatus.QUARANTINED, PoisonStatus.CLEAN]
 
 
-def test_a_request_in_flight_beside_three_culprits_is_cleared():
+def test_a_request_in_flight_beside_three_poison_requests_is_cleared():
     """
-    Later crashes of the culprits lift a wrong quarantine.
+    Later crashes of the poison requests lift a wrong quarantine.
     """
     fold = _fold_of_crashes("xa", "xb", "xc")
     for number, requests in enumerate(["a", "a", "b", "b", "c", "c"], start=3):
@@ -118,7 +118,8 @@
 
 def test_crashes_of_a_quarantined_request_are_republished():
     """
-    It is published once a minute, so that VMs that start later learn of it.
+    They are published again once their last report is over a minute old, so that VMs
+    that start later learn of them.
     """
     fold = _fold_of_crashes("ab", "a", "a")
     assert fold.crashes_to_republish("a", 60.0) == []
@@ -174,7 +175,7 @@
 @given(
     st.lists(st.sets(st.sampled_from("bcdefgh"), max_size=4), min_size=4, max_size=12)
 )
-def test_one_culprit_is_quarantined_and_no_other_request(others):
+def test_one_poison_request_is_quarantined_and_no_other_request(others):
     """
     Whichever requests were in flight beside it, provided that it also was the only
     request in flight at three crashes.
--- a/tests/test_engine_lives.py
+++ b/tests/test_engine_lives.py
@@ -81,11 +81,11 @@
         for entry in entries:
             self.put(entry)
         engine_tables = self.view.engine_tables
-        self.lives = EngineTimeouts(self.view)
+        self.timeouts = EngineTimeouts(self.view)
         self.pool = EnginePool(self.view, least_outstanding(lambda: 0.0))
         self.paces = EnginePaces(engine_tables)
-        self.silent = UnresponsiveEngines(_MuteEngines(), engine_tables)
-        self.placement = Placement(self.view, self.pool, self.paces, self.silent)
+        self.unresponsive = UnresponsiveEngines(_EnginesWithoutAnswer(), engine_tables)
+        self.placement = Placement(self.view, self.pool, self.paces, self.unresponsive)
 
     def put(self, entry: EngineEntry) -> None:
         self.view.apply_engine(KeyedEntry(entry.engine_id, 0, entry))
@@ -98,7 +98,7 @@
         return ItemRun.begin(make_job_state(job), job.items[0])
 
 
-class _MuteEngines:
+class _EnginesWithoutAnswer:
     """
     Engines that do not answer state requests.
     """
@@ -201,7 +201,7 @@
     node.remove("e-1")
     node.put(after)
     assert node.pool.in_flight(before) == 0
-    assert node.lives.has_restarted(before.incarnation)
+    assert node.timeouts.has_restarted(before.incarnation)
 
 
 def test_an_entry_that_expires_and_returns_is_the_same_incarnation():
@@ -235,12 +235,12 @@
 
     async def scenario():
         node = _Node(_entry(FIRST))
-        node.silent.probe(_entry(FIRST))
-        assert _entry(FIRST).incarnation in node.silent
+        node.unresponsive.probe(_entry(FIRST))
+        assert _entry(FIRST).incarnation in node.unresponsive
         node.put(_entry(SECOND))
         await asyncio.sleep(0)
-        assert _entry(SECOND).incarnation not in node.silent
-        assert _entry(FIRST).incarnation not in node.silent
+        assert _entry(SECOND).incarnation not in node.unresponsive
+        assert _entry(FIRST).incarnation not in node.unresponsive
 
     asyncio.run(scenario())
 
@@ -251,11 +251,11 @@
     """
 
     def __init__(self, hangs: Incarnation) -> None:
-        self.asked: list[Incarnation] = []
+        self.called: list[Incarnation] = []
         self._hangs = hangs
 
     async def call(self, engine, request, deadline):
-        self.asked.append(engine.incarnation)
+        self.called.append(engine.incarnation)
         if engine.incarnation == self._hangs:
             await asyncio.sleep(60)
         return EngineAnswer(200, (), b"", "mark")
@@ -274,7 +274,7 @@
         node.view,
         node.pool,
         engines,
-        node.lives,
+        node.timeouts,
         make_crash_watch(node.view),
         Admission(node.view, boot_time, KeyFreshnessBounds(2.0)),
         lambda route, code, seconds: None,
@@ -283,12 +283,12 @@
 
 async def _serve_over_a_restart(node: _Node, engines, kind: RouteKind):
     serving = _serving(node, engines, kind)
-    asked = asyncio.create_task(serving.serve(make_request("/book/x"), 5.0))
-    while not engines.asked:
+    answer_task = asyncio.create_task(serving.serve(make_request("/book/x"), 5.0))
+    while not engines.called:
         await asyncio.sleep(0.01)
     node.put(_entry(SECOND))
     async with asyncio.timeout(1.0):
-        return await asked
+        return await answer_task
 
 
 def test_a_repeatable_request_is_repeated_at_once():
@@ -299,7 +299,7 @@
     engines = _HangingEngines(_entry(FIRST).incarnation)
     answer = asyncio.run(_serve_over_a_restart(node, engines, RouteKind.SAFE))
     assert isinstance(answer, EngineAnswer)
-    assert engines.asked == [_entry(FIRST).incarnation, _entry(SECOND).incarnation]
+    assert engines.called == [_entry(FIRST).incarnation, _entry(SECOND).incarnation]
 
 
 def test_an_unrepeatable_request_has_its_answer_at_once():
@@ -311,7 +311,7 @@
     outcome = asyncio.run(_serve_over_a_restart(node, engines, RouteKind.UNSAFE))
     assert isinstance(outcome, OutcomeUnknown)
     assert "started again" in outcome.detail
-    assert engines.asked == [_entry(FIRST).incarnation]
+    assert engines.called == [_entry(FIRST).incarnation]
 
 
 def test_an_item_leaves_an_engine_that_has_started_again():
@@ -321,7 +321,7 @@
     node = _Node(_entry(FIRST))
     engines = _HangingEngines(_entry(FIRST).incarnation)
     attempts = AttemptRunner(
-        engines, node.paces, node.placement, node.lives, make_crash_watch(node.view)
+        engines, node.paces, node.placement, node.timeouts, make_crash_watch(node.view)
     )
     run = node.item()
 
@@ -384,19 +384,19 @@
         return OrderOutcome.ACCEPTED
 
 
-async def _run_keeper(
+async def _run_updater(
     node: _Node, engine: _LoadableEngine, scenario: Callable[[], Awaitable[None]]
 ) -> None:
-    keeper = WeightUpdater(
+    updater = WeightUpdater(
         node.view,
         engine,
-        node.lives,
+        node.timeouts,
         _Lease(),
         "vm-1",
         lambda model: True,
         lambda model: 2,
     )
-    task = asyncio.create_task(keeper.run())
+    task = asyncio.create_task(updater.run())
     try:
         await scenario()
     finally:
@@ -427,7 +427,7 @@
         node.put(_entry(SECOND, versions={MODEL: 1}))
         await _until(lambda: engine.version == 2)
 
-    asyncio.run(_run_keeper(node, engine, scenario))
+    asyncio.run(_run_updater(node, engine, scenario))
     assert [order[0] for order in engine.orders] == [FIRST, SECOND]
 
 
@@ -446,7 +446,7 @@
         node.put(_entry(SECOND, versions={MODEL: 1}))
         await _until(lambda: engine.version == 2)
 
-    asyncio.run(_run_keeper(node, engine, scenario))
+    asyncio.run(_run_updater(node, engine, scenario))
     assert [order[0] for order in engine.orders] == [SECOND]
 
 
@@ -458,21 +458,21 @@
     _name_version(node, 2)
     original_order = engine.order
 
-    async def lost(at, order):
+    async def order_without_answer(at, order):
         if engine.started_at == FIRST:
             engine.orders.append((FIRST, order.version, order.accepted_orders))
             return OrderOutcome.UNKNOWN
         return await original_order(at, order)
 
-    async def silent(at):
+    async def state_without_answer(at):
         if engine.started_at == FIRST and engine.orders:
             await asyncio.sleep(60)
         return EngineState(
             {MODEL: engine.version}, False, engine.taken, engine.started_at
         )
 
-    monkeypatch.setattr(engine, "order", lost)
-    monkeypatch.setattr(engine, "state", silent)
+    monkeypatch.setattr(engine, "order", order_without_answer)
+    monkeypatch.setattr(engine, "state", state_without_answer)
 
     async def scenario():
         await _until(lambda: engine.orders)
@@ -481,5 +481,5 @@
         node.put(_entry(SECOND, versions={MODEL: 1}))
         await _until(lambda: engine.version == 2)
 
-    asyncio.run(_run_keeper(node, engine, scenario))
+    asyncio.run(_run_updater(node, engine, scenario))
     assert [order[0] for order in engine.orders] == [FIRST, SECOND]
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -198,7 +198,8 @@
 
 def test_a_jump_of_the_clock_that_is_taken_back_moves_nothing():
     """
-    Requests must be counted in the right window while a VM's clock is wrong.
+    A short jump is ignored: requests must be counted in the right window while a VM's
+    clock is wrong.
     """
     clock = StableClock(1000.0, 0.0)
     for now in range(1, 10):
--- a/tests/test_usage_duty.py
+++ b/tests/test_usage_duty.py
@@ -249,7 +249,7 @@
 
 def test_a_holder_that_is_not_answered_leaves_the_duty_to_others():
     """
-    It may reach the store but not the platform.
+    Its reports are refused, for example because it cannot reach the platform.
     """
 
     async def run() -> None:
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -29,6 +29,7 @@
 
 
 _NODES = 3
+#: Term of the lease, in seconds.
 _TERM = 3.0
 _LEASE = "usage"
 #: The window that is reported.
@@ -228,7 +229,8 @@
 
 def test_a_fold_that_takes_the_last_decision_is_detected():
     """
-    So the runs include decisions that reach the log after another one was sent.
+    This shows that the runs include decisions that reach the log after another one was
+    sent.
     """
     assert (
         sum(_has_different_reports(run) for run in _completed_runs(_LastDecisionFold))
@@ -238,7 +240,7 @@
 
 def test_a_claimant_that_does_not_wait_for_the_term_is_detected(monkeypatch):
     """
-    So the runs include holders whose lease another node has claimed.
+    This shows that the runs include holders whose lease another node has claimed.
     """
     monkeypatch.setattr(LeaseWatch, "may_claim", lambda *_: True)
     with pytest.raises(AssertionError):
