--- a/packages/saddledoor/src/saddledoor/_drain.py
+++ b/packages/saddledoor/src/saddledoor/_drain.py
@@ -41,7 +41,7 @@
         once.
     :param handed_over: Whether leases and finished samples were handed to a peer; set
         by the caller.
-    :param stopped: Whether the process is ending.
+    :param stopped: Whether the process is ending; set by the caller.
     """
 
     lame_duck: float
