--- a/packages/saddledoord/src/saddledoord/serving/__init__.py
+++ b/packages/saddledoord/src/saddledoord/serving/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
 
 """
-Serves requests that are passed through to backend servers.
+Serves requests that are passed through to engines.
 """
--- a/packages/saddledoord/src/saddledoord/serving/admission.py
+++ b/packages/saddledoord/src/saddledoord/serving/admission.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Authenticates requests by their key, within the freshness limits for keys.
+Authenticates requests and calls about jobs by the caller's key.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 class Admission:
     """
-    Admits requests of routes and calls that concern jobs.
+    Decides whether to admit requests of routes and calls about jobs.
 
-    :param synced_at: Returns when this node last had the operator's newest documents,
-        monotonic, in seconds.
-    :param bounds: Freshness limits of what is known of keys.
+    :param synced_at: Returns when this node last had read all changes of the operator's
+        registry, monotonic, in seconds.
+    :param bounds: Freshness bounds for the known keys.
     """
 
     def __init__(
--- a/packages/saddledoord/src/saddledoord/serving/engine_choice.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_choice.py
@@ -23,7 +23,7 @@
 
 class EngineChoice:
     """
-    Chooses among the engines of a service for requests that cannot be queued.
+    Chooses among the engines of a service for requests that are not job items.
     """
 
     def __init__(self, pool: EnginePool, crash_watch: EngineCrashWatch) -> None:
@@ -62,26 +62,30 @@
 
         return self._choose_for(key, choose)
 
-    def eligible_at(
+    def next_retry_at(
         self, service: str, key: str, attempts: EngineAttempts
     ) -> float | None:
         """
         Return the earliest time at which an engine may receive the request again,
         monotonic, in seconds; None if none may.
         """
-        returns = attempts.earliest_retry_times()
+        earliest = attempts.earliest_retry_times()
         if (
-            not returns
+            not earliest
             or self._crash_watch.poison_status(key) is PoisonStatus.QUARANTINED
         ):
             return None
-        eligible_at = self._pool.eligible_at(service)
+        retry_times = self._pool.retry_times(service)
         times = [
-            max(at, eligible_at[e]) for e, at in returns.items() if e in eligible_at
+            max(at, retry_times[e]) for e, at in earliest.items() if e in retry_times
         ]
         return min(times, default=None)
 
     def _choose_for(self, key: str, choose: _Choose) -> EngineEntry | None:
+        """
+        Choose an engine: none for a quarantined request, one without other suspects for
+        an ambiguous request, and preferably such an engine for a suspect.
+        """
         poison_status = self._crash_watch.poison_status(key)
         if poison_status is PoisonStatus.QUARANTINED:
             return None
--- a/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
+++ b/packages/saddledoord/src/saddledoord/serving/engine_crash_watch.py
@@ -82,15 +82,15 @@
     The requests that this node has or recently had at one incarnation of an engine.
 
     :param engine: The incarnation; None before its first request.
-    :param interrupted_at: When a request was interrupted, monotonic, in seconds; None
-        if none was since the engine was last checked.
-    :param is_closed: Whether the incarnation has ended.
+    :param interrupted_at: When the request was interrupted for which the engine is
+        being checked, monotonic, in seconds; None while no check runs.
+    :param has_ended: Whether the incarnation has ended.
     """
 
     engine: Incarnation | None = None
     runs: set[_Run] = field(default_factory=set)
     interrupted_at: float | None = None
-    is_closed: bool = False
+    has_ended: bool = False
 
 
 class EngineRun:
@@ -130,10 +130,10 @@
     """
     Tracks which requests were at an engine when it crashed, and reports the crashes.
 
-    A crash is reported only when it is certain: the engine's address refuses
-    connections, or its entry names a later incarnation. Known crashes stay in force
-    while the store is unavailable, and are read from the log after all nodes have
-    restarted.
+    A crash is reported when the engine's address refuses connections, its entry names
+    a later incarnation, or its entry has been missing for long. Known crashes stay in
+    force while the store is unavailable, and are read from the log after all nodes
+    have restarted. `PoisonStatus` tells how they affect a request.
     """
 
     def __init__(
@@ -157,6 +157,8 @@
         """
         Return the poison status of a request.
 
+        Crashes of a quarantined request that the log may lose are appended again.
+
         :param key: As `request_key` returns it.
         """
         now = boot_time()
@@ -171,8 +173,8 @@
         """
         Whether this node has recently read the control stream, answered or not.
 
-        Whether the store answered the last read does not tell: after a process pause
-        that read times out before its answer is processed.
+        An unanswered read counts, since after a process pause a read times out before
+        its answer is processed.
         """
         return boot_time() - self._leases.last_read_at <= _MAX_READ_AGE
 
@@ -194,7 +196,7 @@
         """
         Return the engines at which this node runs suspects other than a request.
 
-        Two suspects at one engine could not be told apart when it crashes.
+        If an engine with two suspects crashes, it is unknown which of them caused it.
         """
         return {
             engine
@@ -235,7 +237,7 @@
         """
         Check whether an engine has crashed, once for all interrupted requests.
         """
-        if engine_runs.is_closed or engine_runs.interrupted_at is not None:
+        if engine_runs.has_ended or engine_runs.interrupted_at is not None:
             return
         engine_runs.interrupted_at = boot_time()
         task = asyncio.create_task(self._check_engine(engine, engine_runs))
@@ -260,21 +262,23 @@
         self, engine: EngineEntry, engine_runs: _EngineRuns
     ) -> None:
         if await self._engines.has_exited(engine):
-            self._close(engine_runs, engine_runs.interrupted_at or boot_time())
+            self._report_crash(engine_runs, engine_runs.interrupted_at or boot_time())
         # The next interruption starts a new check.
         engine_runs.interrupted_at = None
 
     def _on_incarnation_ended(self, engine_runs: _EngineRuns) -> None:
-        # The entry names a later incarnation, or has been missing for long.
-        self._close(engine_runs, boot_time())
+        """
+        Called when the entry names a later incarnation or has been missing for long.
+        """
+        self._report_crash(engine_runs, boot_time())
 
-    def _close(self, engine_runs: _EngineRuns, ended_at: float) -> None:
+    def _report_crash(self, engine_runs: _EngineRuns, ended_at: float) -> None:
         """
         Report the requests that an engine received shortly before it crashed.
         """
-        if engine_runs.is_closed or engine_runs.engine is None:
+        if engine_runs.has_ended or engine_runs.engine is None:
             return
-        engine_runs.is_closed = True
+        engine_runs.has_ended = True
         # The engine may have started a request that was cancelled just before.
         keys = sorted(
             {
--- a/packages/saddledoord/src/saddledoord/serving/outcomes.py
+++ b/packages/saddledoord/src/saddledoord/serving/outcomes.py
@@ -39,7 +39,7 @@
 
 def record_run(run: EngineRun, engine: EngineEntry, outcome: Outcome) -> None:
     """
-    Record an outcome with the crash detection.
+    Record how a tracked request ended.
     """
     match outcome:
         case EngineAnswer():
@@ -55,7 +55,7 @@
 
 def attempt_end(outcome: Outcome) -> AttemptOutcome:
     """
-    Return how an attempt ended whose outcome is not final.
+    Return the kind of an outcome, for the choice of the next engine.
     """
     match outcome:
         case EngineAnswer():
--- a/packages/saddledoord/src/saddledoord/serving/pace.py
+++ b/packages/saddledoord/src/saddledoord/serving/pace.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Measures how fast each engine generates events.
+Measures the pace of each engine: the mean time between two events of a stream.
 """
 
 from __future__ import annotations
--- a/packages/saddledoord/src/saddledoord/serving/pass_through.py
+++ b/packages/saddledoord/src/saddledoord/serving/pass_through.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Forwards a request to a backend server, and retries it at others if it is repeatable.
+Forwards a request to an engine, and retries it at other engines if it is repeatable.
 """
 
 from __future__ import annotations
@@ -46,8 +46,9 @@
 
 #: Retry delay told to a caller whose request was refused, in seconds.
 _RETRY_AFTER = 0.1
-#: Share of a route's objective after which a repeatable request is also sent to a
-#: second engine (hedging), so that the second can still answer in time.
+#: Share of a route's objective after which a repeatable request (of a route of kind
+#: `SAFE`) is also sent to a second engine (hedging), so that the second can still
+#: answer in time.
 _HEDGE_AFTER = 0.5
 #: Least time before the deadline at which an attempt is started, in seconds.
 _MIN_TIME_LEFT = 0.01
@@ -177,12 +178,14 @@
         Run a request of a route until it is answered or its deadline has passed.
 
         :param deadline: Monotonic, in seconds.
-        :param on_outcome: Called with the outcome of each attempt.
+        :param on_outcome: Called with the outcome of each attempt that was sent and not
+            cancelled.
         :param name: Name that the request keeps when it is sent again; empty without
             one.
         :param may_begin: Called before each attempt; none starts while it returns
             false.
-        :param first_start: Records when engines started the request; None if unused.
+        :param first_start: Records when the first engine started the request; None if
+            this is not needed.
         """
         key = _request_key(request, name)
         service = route.service(random.random())
@@ -250,12 +253,13 @@
         """
         Whether the request may be retried at an engine before its deadline.
 
-        A request that was refused everywhere is not: another VM may accept it.
+        A request that every engine refused is not retried: the caller may send it to
+        another VM.
         """
         if not is_pending and current.last is None:
             return False
         target = (current.service, current.key, current.attempts)
-        at = self._choice.eligible_at(*target)
+        at = self._choice.next_retry_at(*target)
         needed = _MIN_RETRY_SHARE * current.route.objective
         return at is not None and max(at, boot_time()) + needed <= current.deadline
 
@@ -279,7 +283,7 @@
         """
         Whether a second engine may run the request at the same time.
 
-        A suspect is not hedged: it might crash both engines.
+        Only a clean request is hedged: a suspect might crash both engines.
         """
         if current.route.kind is not RouteKind.SAFE:
             return False
@@ -365,10 +369,10 @@
 
     def _give_up(self, current: RequestState) -> Outcome:
         outcome = current.last
-        barred = (
+        is_quarantined = (
             self._crash_watch.poison_status(current.key) is PoisonStatus.QUARANTINED
         )
-        if outcome is None and barred:
+        if outcome is None and is_quarantined:
             code = ResultCode.ENDS_ENGINES
             outcome = NotRun(
                 code, "engines have ended under it", _QUARANTINE_RETRY_AFTER
--- a/packages/saddledoord/src/saddledoord/serving/pool.py
+++ b/packages/saddledoord/src/saddledoord/serving/pool.py
@@ -27,8 +27,8 @@
 #: Least time between two requests that are retried at an engine that has answered none
 #: since it failed, in seconds. It is not doubled: each request backs off on its own.
 _RETRY_INTERVAL = 0.25
-#: How long an engine that another one has overtaken is chosen after the others, in
-#: seconds.
+#: How long an engine is chosen only after the others once another engine has received
+#: a request later and answered it first (overtaken it), in seconds.
 _OVERTAKEN_PENALTY = 4.0
 
 
@@ -64,7 +64,7 @@
 
     :param count: Number of refusals in a row.
     :param until: End of the backoff, monotonic, in seconds.
-    :param is_probing: Whether a request is in flight there after the refusal.
+    :param is_probing: Whether a request that was sent after the refusal is in flight.
     """
 
     count: int = 0
@@ -73,7 +73,7 @@
 
 
 @dataclass(eq=False)
-class _EngineUsage:
+class _EngineLoad:
     """
     The requests of this node at an engine, and the engine's recent failures.
 
@@ -82,7 +82,8 @@
     :param overtaken_until: Until when the engine is chosen after the others, monotonic,
         in seconds.
     :param failures: Number of failures in a row.
-    :param refusals: By kind of request.
+    :param refusals: By kind of request: the model of a job item, or empty for any other
+        request.
     :param retry_at: Earliest time of the next request that is retried at the engine,
         monotonic, in seconds.
     """
@@ -124,18 +125,18 @@
     def __init__(self, view: ClusterView, choose: RoutingPolicy) -> None:
         self._view = view
         self._choose = choose
-        self._usage_by_engine = view.engine_tables.table(_EngineUsage)
+        self._loads = view.engine_tables.table(_EngineLoad)
 
     def choose(
         self, service: str, exclude: Iterable[Incarnation] = (), kind: str = ""
     ) -> EngineEntry | None:
         """
-        Return an engine for a request that cannot be queued, or None.
+        Return an engine for a request that is not a job item, or None.
 
         If all engines are backing off, one of them is chosen all the same.
 
         :param exclude: Engines that were tried already.
-        :param kind: Kind of the request.
+        :param kind: Model of a job item; empty for any other request.
         """
         now = boot_time()
         tried = set(exclude)
@@ -144,7 +145,7 @@
         eligible = [
             engine for engine in untried if self._is_eligible(engine, kind, now)
         ]
-        fast = [e for e in eligible if self._usage(e).overtaken_until <= now]
+        fast = [e for e in eligible if self._load_of(e).overtaken_until <= now]
         return self._choose_among({e.engine_id: e for e in fast or eligible or untried})
 
     def choose_again(
@@ -159,17 +160,17 @@
         engines = {
             engine.engine_id: engine
             for engine in self._view.directory.usable(service, now)
-            if engine.incarnation in among and self._usage(engine).may_retry(now)
+            if engine.incarnation in among and self._load_of(engine).may_retry(now)
         }
         return self._choose_among(engines)
 
-    def eligible_at(self, service: str) -> dict[Incarnation, float]:
+    def retry_times(self, service: str) -> dict[Incarnation, float]:
         """
         Return the earliest time of a retry at each engine of a service, monotonic, in
         seconds.
         """
         usable = self._view.directory.usable(service, boot_time())
-        return {e.incarnation: self._usage(e).retry_at for e in usable}
+        return {e.incarnation: self._load_of(e).retry_at for e in usable}
 
     def record_retry(self, engine: EngineEntry) -> None:
         """
@@ -177,7 +178,7 @@
 
         Requests that failed together would otherwise be retried together.
         """
-        self._usage(engine).retry_at = boot_time() + _RETRY_INTERVAL
+        self._load_of(engine).retry_at = boot_time() + _RETRY_INTERVAL
 
     def with_free_slots(self, service: str, kind: str) -> list[EngineEntry]:
         """
@@ -188,7 +189,7 @@
         return [
             engine
             for engine in self._view.directory.usable(service, now)
-            if self._usage(engine).in_flight < engine.slots
+            if self._load_of(engine).in_flight < engine.slots
             and self._is_eligible(engine, kind, now)
         ]
 
@@ -196,34 +197,34 @@
         """
         Return the number of requests that this node has in flight at an engine.
         """
-        return self._usage(engine).in_flight
+        return self._load_of(engine).in_flight
 
     def reserve(self, engine: EngineEntry, kind: str = "") -> Reservation:
         """
         Reserve a slot at an engine at once, so that the next choice counts it.
         """
-        usage = self._usage(engine)
-        usage.in_flight += 1
-        refusal = usage.refusals.get(kind)
+        load = self._load_of(engine)
+        load.in_flight += 1
+        refusal = load.refusals.get(kind)
         if refusal is not None:
             refusal.is_probing = True
-        return Reservation(lambda: _release(usage, refusal))
+        return Reservation(lambda: _release(load, refusal))
 
     def record_success(self, engine: EngineEntry, kind: str = "") -> None:
         """
         Record an answer, which ends the backoff of an engine for a kind of request.
         """
-        usage = self._usage(engine)
-        usage.refusals.pop(kind, None)
-        usage.failures = 0
-        usage.backoff_until = 0.0
-        usage.retry_at = 0.0
+        load = self._load_of(engine)
+        load.refusals.pop(kind, None)
+        load.failures = 0
+        load.backoff_until = 0.0
+        load.retry_at = 0.0
 
     def record_refusal(self, engine: EngineEntry, kind: str = "") -> None:
         """
         Record that an engine refused a request of a kind.
         """
-        refusal = self._usage(engine).refusals.setdefault(kind, _Refusal())
+        refusal = self._load_of(engine).refusals.setdefault(kind, _Refusal())
         backoff = min(_MAX_REFUSAL_BACKOFF, _REFUSAL_BACKOFF * 2**refusal.count)
         refusal.count += 1
         refusal.until = boot_time() + backoff
@@ -232,34 +233,34 @@
         """
         Record that another engine got a request later and answered it first.
         """
-        self._usage(engine).overtaken_until = boot_time() + _OVERTAKEN_PENALTY
+        self._load_of(engine).overtaken_until = boot_time() + _OVERTAKEN_PENALTY
 
     def record_failure(self, engine: EngineEntry) -> None:
         """
         Record that an engine gave no usable answer.
         """
-        usage = self._usage(engine)
-        usage.failures += 1
-        backoff = _FAILURE_BACKOFF * 2 ** (usage.failures - 1)
-        usage.backoff_until = boot_time() + min(_MAX_FAILURE_BACKOFF, backoff)
+        load = self._load_of(engine)
+        load.failures += 1
+        backoff = _FAILURE_BACKOFF * 2 ** (load.failures - 1)
+        load.backoff_until = boot_time() + min(_MAX_FAILURE_BACKOFF, backoff)
 
     def _choose_among(self, engines: Mapping[str, EngineEntry]) -> EngineEntry | None:
         if not engines:
             return None
         candidates = [
-            Candidate(engine_id, max(1, engine.slots), self._usage(engine).in_flight)
+            Candidate(engine_id, max(1, engine.slots), self._load_of(engine).in_flight)
             for engine_id, engine in engines.items()
         ]
         return engines[self._choose(candidates).name]
 
-    def _usage(self, engine: EngineEntry) -> _EngineUsage:
-        return self._usage_by_engine[engine.incarnation]
+    def _load_of(self, engine: EngineEntry) -> _EngineLoad:
+        return self._loads[engine.incarnation]
 
     def _is_eligible(self, engine: EngineEntry, kind: str, now: float) -> bool:
-        return self._usage(engine).is_eligible(kind, now)
+        return self._load_of(engine).is_eligible(kind, now)
 
 
-def _release(usage: _EngineUsage, refusal: _Refusal | None) -> None:
-    usage.in_flight -= 1
+def _release(load: _EngineLoad, refusal: _Refusal | None) -> None:
+    load.in_flight -= 1
     if refusal is not None:
         refusal.is_probing = False
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -88,7 +88,7 @@
     Guard(
         "a failing engine is retried by one request at a time",
         f"{DAEMON}/serving/pool.py",
-        "self._usage(engine).retry_at = boot_time() + _RETRY_INTERVAL",
+        "self._load_of(engine).retry_at = boot_time() + _RETRY_INTERVAL",
         "pass",
         (ATTEMPTS, "one_at_a_time"),
     ),
@@ -158,7 +158,7 @@
     Guard(
         "an engine that was overtaken comes after the others",
         f"{DAEMON}/serving/pool.py",
-        "self._usage(e).overtaken_until <= now",
+        "self._load_of(e).overtaken_until <= now",
         "True",
         (POOL, "overtaken"),
     ),
--- a/tests/test_engine_crash_watch.py
+++ b/tests/test_engine_crash_watch.py
@@ -26,12 +26,12 @@
     """
 
     def __init__(
-        self, gone: bool = True, control_log: FakeControlLog | None = None
+        self, has_crashed: bool = True, control_log: FakeControlLog | None = None
     ) -> None:
         self.control_log = control_log or FakeControlLog()
         self.view = ClusterView()
         self.watch: EngineCrashWatch = make_crash_watch(
-            self.view, self.control_log, gone
+            self.view, self.control_log, has_crashed
         )
 
     async def interrupt(self, index: int, *keys: str) -> None:
@@ -83,7 +83,7 @@
     """
 
     async def scenario() -> tuple[list[PoisonStatus], list[bytes]]:
-        node = _Node(gone=False)
+        node = _Node(has_crashed=False)
         for _ in range(5):
             await node.interrupt(0, "a")
         await node.flush()
@@ -113,7 +113,7 @@
     """
 
     async def scenario() -> list[PoisonStatus]:
-        node = _Node(gone=False)
+        node = _Node(has_crashed=False)
         first = make_engine_entry("engine-0", started_at=1)
         node.view.apply_engine(KeyedEntry("engine-0", 0, first))
         with node.watch.track_run(first.incarnation, "a"):
@@ -251,12 +251,12 @@
     During an outage of the store a recent read is enough; known crashes count.
     """
 
-    class _Away(FakeControlLog):
+    class _Unavailable(FakeControlLog):
         async def sync(self) -> bool:
-            raise AssertionError("not asked")
+            raise AssertionError("sync was called")
 
     async def scenario() -> list[PoisonStatus]:
-        node = _Node(control_log=_Away(last_read_at=boot_time()))
+        node = _Node(control_log=_Unavailable(last_read_at=boot_time()))
         for number in range(3):
             await node.interrupt(number, "a")
         await node.watch.refresh()
