--- a/packages/saddledoord/src/saddledoord/cluster/engine_timeouts.py
+++ b/packages/saddledoord/src/saddledoord/cluster/engine_timeouts.py
@@ -22,8 +22,8 @@
     """
     Timeouts for work at an engine that also expire when the engine restarts.
 
-    A connection to an engine that lost power or network shows nothing. The entry of the
-    engine's next incarnation shows that no answer will come.
+    A connection to an engine that lost power or network is not closed. Only the entry
+    of the engine's next incarnation shows that no answer will come.
     """
 
     def __init__(self, view: ClusterView) -> None:
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -36,13 +36,13 @@
 #: How long a read waits at the store for new records, in seconds. An unavailable store
 #: is noticed only after this wait and the answer timeout.
 _READ_WAIT = 1.0
-#: Longest wait for a page of the first replay, in seconds: all nodes may start at once
-#: and share the store's bandwidth.
+#: Longest wait for a page while the stream is read for the first time (replay), in
+#: seconds: all nodes may start at once and share the store's bandwidth.
 _REPLAY_ANSWER_TIMEOUT = 3.0
 #: Longest wait for an answer while the store is unavailable, in seconds; short, so that
 #: its return is noticed soon.
 _OUTAGE_ANSWER_TIMEOUT = 0.4
-#: How long a caller waits for the first replay of a stream, in seconds.
+#: How long a caller waits for the replay of a stream, in seconds.
 _REPLAY_WAIT = 1.0
 #: Pause after a failed read, in seconds.
 _RETRY_PAUSE = 0.1
@@ -65,13 +65,13 @@
     def is_store_reachable(self) -> bool:
         return self._is_reachable
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         if not self._is_reachable:
             self._is_reachable = True
             _log.info("store_regained", reading=self._name)
             self._on_change(True)
 
-    def failed(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         if self._is_reachable:
             self._is_reachable = False
             _log.warning("store_lost", reading=self._name, reason=reason)
@@ -146,7 +146,7 @@
     @property
     def synced_at(self) -> float:
         """
-        When all records of the log were last known, monotonic, in seconds.
+        When this node last had read all records of the stream, monotonic, in seconds.
         """
         return self._synced_at
 
@@ -174,10 +174,10 @@
             try:
                 page = await self._read_next()
             except StoreUnavailableError as error:
-                self._reachability.failed(str(error))
+                self._reachability.record_failure(str(error))
                 await asyncio.sleep(_RETRY_PAUSE)
                 continue
-            self._reachability.answered()
+            self._reachability.record_answer()
             self._apply_page(page, started_at)
             if page.records and self.caught_up:
                 await asyncio.sleep(self._batch_delay())
@@ -186,7 +186,8 @@
         """
         Apply all records that were in the log when this was called.
 
-        Concurrent callers share reads: a read that starts after a call serves it, too.
+        Concurrent callers share reads: one read that starts after several calls is
+        enough for all of them.
 
         :returns: False if the store did not answer.
         """
@@ -206,7 +207,7 @@
 
     async def _wait_for_replay(self) -> bool:
         """
-        Wait for the first replay, which `run` performs; false if it takes too long.
+        Wait for the replay, which `run` performs; return False if it takes too long.
         """
         try:
             async with asyncio.timeout(_REPLAY_WAIT):
@@ -313,7 +314,8 @@
     @property
     def synced_at(self) -> float:
         """
-        When all changes of the registry were last known, monotonic, in seconds.
+        When this node last had read all changes of the registry, monotonic, in
+        seconds.
         """
         return self._synced_at
 
@@ -340,12 +342,12 @@
             try:
                 page = await self._page()
             except StoreUnavailableError as error:
-                self._reachability.failed(str(error))
+                self._reachability.record_failure(str(error))
                 # Entries may expire unseen during an outage: read all of them after it.
                 self._next = None
                 await asyncio.sleep(_RETRY_PAUSE)
                 continue
-            self._reachability.answered()
+            self._reachability.record_answer()
             self._apply_page(page)
             if page.is_end:
                 self._synced_at = started_at
--- a/packages/saddledoord/src/saddledoord/cluster/leases.py
+++ b/packages/saddledoord/src/saddledoord/cluster/leases.py
@@ -28,16 +28,14 @@
 
 __all__ = ["LeaseLog"]
 
-#: The stream of lease records.
+#: The log stream of leases and of engine crashes.
 CONTROL_STREAM = "control"
-#: Separates the machine's name from the process's token in a holder's name.
+#: Separates the node's name from the process's token in a holder's name.
 _PROCESS_SEPARATOR = "#"
 #: How long a read of the stream waits for new records, in seconds. An available store
-#: is heard of at least this often, so that an outage is noticed soon.
+#: answers at least this often, so that an outage is noticed soon.
 _READ_WAIT = 0.2
-
-
-#: Longest wait for an answer of the store beyond that, in seconds.
+#: Longest wait for an answer of the store, in seconds; for a read, beyond its own wait.
 _ANSWER_TIMEOUT = 0.5
 
 
@@ -45,14 +43,14 @@
     """
     Follows all leases and manages those of this process.
 
-    :param machine: Unique name of this machine.
+    :param node: Unique name of this VM.
     """
 
-    def __init__(self, log: SharedLog, machine: str) -> None:
+    def __init__(self, log: SharedLog, node: str) -> None:
         self._log = log
-        self._machine = machine
-        # Each process of a machine is a different holder.
-        self._holder = f"{machine}{_PROCESS_SEPARATOR}{secrets.token_hex(4)}"
+        self._node = node
+        # Each process of a VM is a different holder.
+        self._holder = f"{node}{_PROCESS_SEPARATOR}{secrets.token_hex(4)}"
         self._fold = LeaseFold()
         self._watches: dict[str, LeaseWatch] = {}
         self._regained_at = float("-inf")
@@ -111,7 +109,7 @@
 
     async def sync(self) -> bool:
         """
-        Apply all records of the log; return false if the store did not answer.
+        Apply all records of the log; return False if the store did not answer.
         """
         return await self._follower.sync()
 
@@ -153,7 +151,7 @@
         """
         Whether a claim may be appended now.
 
-        A lease of an earlier process of this machine may be claimed before its term has
+        A lease of an earlier process of this VM may be claimed before its term has
         passed, since that process has ended.
 
         :param term: Term of the lease, in seconds.
@@ -161,8 +159,8 @@
         lease = self.get(name)
         if lease is None or lease.released:
             return True
-        machine = lease.holder.rpartition(_PROCESS_SEPARATOR)[0]
-        if machine == self._machine:
+        node = lease.holder.rpartition(_PROCESS_SEPARATOR)[0]
+        if node == self._node:
             return lease.holder != self._holder
         watch = self._watches.setdefault(name, LeaseWatch(term))
         return watch.may_claim(lease, boot_time())
--- a/packages/saddledoord/src/saddledoord/cluster/store_watch.py
+++ b/packages/saddledoord/src/saddledoord/cluster/store_watch.py
@@ -154,8 +154,8 @@
         """
         call = self._log.read(stream, start, wait, max_bytes, answer_timeout)
         # A longer answer timeout than the default means that a large page is expected.
-        expected = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)
-        page = await self._watch.call(call, expected)
+        wait_allowed = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)
+        page = await self._watch.call(call, wait_allowed)
         self._watch.record_answer()
         return page
 
--- a/packages/saddledoord/src/saddledoord/cluster/view.py
+++ b/packages/saddledoord/src/saddledoord/cluster/view.py
@@ -1,7 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-This node's view of the configuration, the named weight versions and the engines.
+This node's view of the configuration, the weight versions that trainers have named
+and the engines.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 
 _log = structlog.get_logger()
 
-#: Largest number of engines in a pool whose jobs all run on one node; the jobs of a
-#: larger pool are divided among nodes by their series.
+#: Largest number of engines of a service whose jobs all run on one node; the jobs of a
+#: larger service are divided among nodes by their series.
 _MAX_ENGINES_PER_NODE = 32
 #: How long the state of an engine is kept after its entry is gone, in seconds: it may
 #: only have expired during an outage of the store, and an engine that leaves still
@@ -45,7 +46,8 @@
 
     :ivar directory: The engines that have an entry.
     :ivar engine_tables: State of engines that is dropped when an incarnation ends.
-    :ivar changed: Set at each change.
+    :ivar changed: Event that is set at each change of the configuration, the named
+        versions or the engines.
     """
 
     def __init__(self) -> None:
@@ -95,25 +97,27 @@
         """
         Return the work share of a job.
 
-        One node runs all jobs of a pool of engines, unless the pool is too large: it
-        knows the load of each engine and can order the waiting items of all jobs.
+        One node runs all jobs of a service unless the service has too many engines.
+        That node knows the load of each engine and can order the waiting items of all
+        jobs. Otherwise each series of jobs is a work share.
         """
-        for service in self.pools():
+        for service in self.model_services():
             if job.model in service.models and self._runs_on_one_node(service):
                 return service.name
         return job.series
 
-    def shares(self) -> set[str]:
+    def permanent_shares(self) -> set[str]:
         """
-        Return the work shares that need a holder even without jobs.
+        Return the work shares that need a holder even without open jobs: one for each
+        service that runs on one node.
         """
-        return {s.name for s in self.pools() if self._runs_on_one_node(s)}
+        return {s.name for s in self.model_services() if self._runs_on_one_node(s)}
 
     def _runs_on_one_node(self, service: GatewayService) -> bool:
         engines = self.directory.usable(service.name, boot_time())
         return len(engines) <= _MAX_ENGINES_PER_NODE
 
-    def pools(self) -> list[GatewayService]:
+    def model_services(self) -> list[GatewayService]:
         """
         Return the services that serve models.
         """
@@ -202,16 +206,23 @@
         if known is not None:
             self._gone[known.incarnation] = boot_time()
         for incarnation in self._gone:
-            # Stays in `_gone`: requests in flight there may still add state.
+            # The incarnation stays in `_gone`, since its requests in flight may still
+            # add state.
             if incarnation.engine_id == entry.engine_id:
                 self.engine_tables.forget(incarnation)
 
     def _remove_engine(self, engine_id: str, offset: int | None) -> None:
+        """
+        Remove an engine whose entry is gone; the entry may return after an outage.
+        """
         _log.info("engine_entry_gone", engine=engine_id, offset=offset)
         self._mark_gone(engine_id)
         self.directory.remove(engine_id, boot_time())
 
     def _drop_engine(self, engine_id: str) -> None:
+        """
+        Remove an engine whose entry is unusable, so that no request is sent to it.
+        """
         # The reader of the entry has logged the reason.
         self._mark_gone(engine_id)
         self.directory.drop(engine_id)
--- a/packages/saddledoord/src/saddledoord/cluster/work_shares.py
+++ b/packages/saddledoord/src/saddledoord/cluster/work_shares.py
@@ -24,8 +24,7 @@
 _PREFIX = "share/"
 #: Term of a lease, in seconds.
 _TERM = 1.0
-#: Renewals per term.
-_RENEWALS = 3
+_RENEWALS_PER_TERM = 3
 #: How often the leases are checked without a change, in seconds.
 _CHECK_INTERVAL = 0.1
 #: Longest random delay of a claim, in seconds, so that nodes do not claim all at once.
@@ -41,10 +40,10 @@
     """
     Claims shares that no node holds, and renews those of this node.
 
-    A share only distributes work; the order of the log decides which results count. So
-    a node keeps its shares during an outage of the store, and a holder that was
-    replaced does no harm. A share moves only if its holder stops, crashes or is cut off
-    from the store.
+    A work share is a set of jobs that one node runs. Two nodes that run it at the same
+    time do no harm, since the order of the log decides which results count. So a node
+    keeps its shares during an outage of the store. A share moves only if its holder
+    stops, crashes or is cut off from the store.
 
     :param wanted: Returns the shares that must have a holder.
     :param on_acquired: Awaited before a share that was claimed counts as held.
@@ -78,7 +77,7 @@
         self._claims_due: dict[tuple[str, int], float] = {}
         self._stopped = False
 
-    def owns(self, share: str) -> bool:
+    def holds(self, share: str) -> bool:
         """
         Return whether this node holds a share.
         """
@@ -126,7 +125,7 @@
 
     async def _renew(self) -> None:
         now = boot_time()
-        if now - self._renewed_at < _TERM / _RENEWALS:
+        if now - self._renewed_at < _TERM / _RENEWALS_PER_TERM:
             return
         names = [
             name for name in self._leases.held_lease_names() if name.startswith(_PREFIX)
@@ -137,8 +136,8 @@
 
     def _may_claim(self, share: str) -> bool:
         name = _PREFIX + share
-        # A holder could not renew during an outage of the store, and needs time to
-        # notice its end.
+        # Right after an outage of the store no share is claimed: its holder could not
+        # renew the lease during the outage and needs time to do so.
         regained_at = self._leases.regained_at
         if not self._leases.is_store_reachable or boot_time() - regained_at < _TERM:
             return False
--- a/packages/saddledoord/src/saddledoord/duties/lease.py
+++ b/packages/saddledoord/src/saddledoord/duties/lease.py
@@ -18,10 +18,8 @@
 
 _log = structlog.get_logger()
 
-#: Renewals per term.
-_RENEWALS = 3
-#: Checks of the lease per term.
-_CHECKS = 12
+_RENEWALS_PER_TERM = 3
+_CHECKS_PER_TERM = 12
 #: Time for which a node does not claim the lease after `back_off`, in terms.
 _BACKOFF_TERMS = 3
 
@@ -49,7 +47,7 @@
         held = self._held
         return held if held and held.may_act(boot_time(), margin) else None
 
-    def note_fenced(self, fence: int) -> None:
+    def record_fenced(self, fence: int) -> None:
         """
         Drop the lease, because a receiver has seen a higher fencing number.
 
@@ -64,7 +62,7 @@
         Claim the lease when it is free, and renew it while held, until cancelled.
         """
         while True:
-            await self._leases.wait(self._term / _CHECKS)
+            await self._leases.wait(self._term / _CHECKS_PER_TERM)
             if self._leases.caught_up and self._may_hold():
                 await self._check()
 
@@ -105,7 +103,7 @@
                 # It expired while the store was unreachable; a successful renewal shows
                 # that no other node has claimed it since.
                 await self._renew()
-        elif held.deadline - now < self._term * (1 - 1 / _RENEWALS):
+        elif held.deadline - now < self._term * (1 - 1 / _RENEWALS_PER_TERM):
             await self._renew()
 
     def _still_holds(self, held: HeldLease, now: float) -> bool:
@@ -113,22 +111,22 @@
         return held.may_act(now) and lease is not None and lease.fence == held.fence
 
     async def _claim(self) -> None:
-        began = boot_time()
+        sent_at = boot_time()
         lease = await self._leases.claim(self._duty)
         if lease is None:
             return
         if not self._may_hold():
             await self._leases.release([self._duty])
             return
-        self._set_held(lease, began)
+        self._set_held(lease, sent_at)
         _log.info("duty_taken", duty=self._duty, fence=lease.fence)
 
     async def _renew(self) -> None:
-        began = boot_time()
+        sent_at = boot_time()
         lease = self._leases.get(self._duty)
         if lease is not None and await self._leases.renew([self._duty]):
-            self._set_held(lease, began)
+            self._set_held(lease, sent_at)
 
-    def _set_held(self, lease: Lease, began: float) -> None:
+    def _set_held(self, lease: Lease, sent_at: float) -> None:
         if self._may_hold() and self._leases.is_mine(self._duty):
-            self._held = HeldLease(self._duty, lease.fence, began + self._term)
+            self._held = HeldLease(self._duty, lease.fence, sent_at + self._term)
--- a/packages/saddledoord/src/saddledoord/duties/usage.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage.py
@@ -43,11 +43,11 @@
         self._counter = UsageCounter(log, source, windows)
         self._reporter = UsageReporter(log, calls, lease, self._counter, windows, vm)
 
-    def count(self, workspace: str, began_at: float) -> None:
+    def count(self, workspace: str, started_at: float) -> None:
         """
         Count a request; see `UsageCounter.count`.
         """
-        self._counter.count(workspace, began_at)
+        self._counter.count(workspace, started_at)
 
     def loops(self) -> list[Coroutine]:
         """
--- a/packages/saddledoord/src/saddledoord/duties/usage_counter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_counter.py
@@ -60,13 +60,13 @@
         """
         return self._time.at(boot_time())
 
-    def count(self, workspace: str, began_at: float) -> None:
+    def count(self, workspace: str, started_at: float) -> None:
         """
         Count a request.
 
-        :param began_at: When an engine began to run it, monotonic, in seconds.
+        :param started_at: When an engine began to run it, monotonic, in seconds.
         """
-        self._meter.count(workspace, self._windows.of(self._time.at(began_at)))
+        self._meter.count(workspace, self._windows.of(self._time.at(started_at)))
         self._has_counts.set()
 
     async def run(self) -> None:
--- a/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
@@ -3,8 +3,8 @@
 """
 Reports usage to the platform from the node that holds the lease.
 
-The counts of a window are decided in the log before they are sent, so that a later
-lease holder repeats exactly the same report.
+The node writes the counts of a window to the log (decides the window) before it sends
+them, so that a later lease holder repeats exactly the same report.
 """
 
 from __future__ import annotations
@@ -151,7 +151,7 @@
                 self._note_sent(window)
                 return True
             case DutyOutcome.FENCED:
-                self._lease.note_fenced(held.fence)
+                self._lease.record_fenced(held.fence)
             case DutyOutcome.REFUSED | DutyOutcome.UNKNOWN:
                 await self._note_failure()
         return False
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -205,7 +205,7 @@
             self._writer,
             texts,
             Scorer(self.view, self.pass_through),
-            self._shares.owns,
+            self._shares.holds,
             self._log_freshness,
         )
         self.jobs.on_change(self._wake)
@@ -355,7 +355,9 @@
 
     def _wanted_shares(self) -> set[str]:
         open_jobs = self.jobs.open_jobs()
-        return self.view.shares() | {self.view.share_of(s.job) for s in open_jobs}
+        return self.view.permanent_shares() | {
+            self.view.share_of(s.job) for s in open_jobs
+        }
 
     async def _sync_jobs(self) -> None:
         """
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -62,7 +62,7 @@
     """
     Dispatches the unfinished items of this node's jobs to engines with free slots.
 
-    :param owns: Tells whether this node owns a share of the jobs.
+    :param holds: Tells whether this node holds a work share.
     """
 
     @property
@@ -84,7 +84,7 @@
         writer: RecordWriter,
         texts: TextStore,
         scorer: Scorer,
-        owns: Callable[[str], bool],
+        holds: Callable[[str], bool],
         log_freshness: LogFreshness,
     ) -> None:
         self._jobs = jobs
@@ -94,7 +94,7 @@
         self._writer = writer
         self._texts = texts
         self._scorer = scorer
-        self._owns = owns
+        self._holds = holds
         self._log_freshness = log_freshness
         self._attempts = attempts
         self._crashes = crashes
@@ -159,7 +159,7 @@
 
     def _may_start(self) -> bool:
         """
-        Whether this node would know that a job has ended.
+        Whether items may be sent to engines; see `LogFreshness`.
         """
         return self._log_freshness.may_start(boot_time())
 
@@ -191,12 +191,14 @@
 
     def _own_jobs(self) -> list[JobState]:
         """
-        Return the open jobs of the shares that this node owns.
+        Return the open jobs of the work shares that this node holds.
         """
         if self._stopped:
             return []
         states = self._jobs.open_jobs()
-        return [state for state in states if self._owns(self._view.share_of(state.job))]
+        return [
+            state for state in states if self._holds(self._view.share_of(state.job))
+        ]
 
     def _drop(self, key: ItemKey, reason: str) -> None:
         run = self._runs.pop(key)
--- a/packages/saddledoord/src/saddledoord/jobs/service.py
+++ b/packages/saddledoord/src/saddledoord/jobs/service.py
@@ -134,7 +134,7 @@
     :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log retains records, in seconds.
     :param store_is_silent: Tells whether the store has not answered lately.
-    :param runs_jobs: Tells whether this node owns any share of the jobs.
+    :param runs_jobs: Tells whether this node holds any work share.
     """
 
     def __init__(
--- a/packages/saddledoord/src/saddledoord/orders/weights.py
+++ b/packages/saddledoord/src/saddledoord/orders/weights.py
@@ -57,12 +57,12 @@
     """
     What this node knows of an engine's weights beyond its registry entry.
 
-    :param reached: Loaded versions according to its reports, by model.
+    :param loaded_versions: Versions that the engine has reported as loaded, by model.
     :param load: The load in progress, or None.
     :param paused_until: Time before which it gets no order, monotonic, in seconds.
     """
 
-    reached: dict[str, int] = field(default_factory=dict)
+    loaded_versions: dict[str, int] = field(default_factory=dict)
     load: _Load | None = None
     paused_until: float = 0.0
 
@@ -124,7 +124,7 @@
             self._start_loads(boot_time())
 
     def _start_loads(self, now: float) -> None:
-        for service in self._view.pools():
+        for service in self._view.model_services():
             usable = self._view.directory.usable(service.name, now)
             engines = {engine.engine_id: engine for engine in usable}
             loads = [
@@ -148,7 +148,7 @@
         self, service: GatewayService, engines: dict[str, EngineEntry]
     ) -> list[ModelWeights]:
         """
-        Return the models of a pool for which trainers have named versions, in the
+        Return the models of a service for which trainers have named versions, in the
         order in which they were first named.
         """
         models = sorted(service.models)
@@ -196,7 +196,7 @@
         weights = self._engine_weights[engine.incarnation]
         if weights.load is not None and weights.load.model == model:
             return weights.load.version
-        return max(weights.reached.get(model, 0), engine.versions.get(model, 0))
+        return max(weights.loaded_versions.get(model, 0), engine.versions.get(model, 0))
 
     async def _run_load(self, load: _Load) -> None:
         try:
@@ -215,7 +215,7 @@
         state = await self._request_state(load.engine)
         if state is None or state.busy:
             self._pause_engine(load)
-        elif not self._note_reached(load, state):
+        elif not self._record_if_loaded(load, state):
             await self._send_order(load, state)
 
     async def _send_order(self, load: _Load, state: EngineState) -> None:
@@ -230,7 +230,7 @@
             state.accepted_orders,
             self._retain_running(load.model),
         )
-        began = boot_time()
+        ordered_at = boot_time()
         outcome = await self._engines.order(load.engine, order)
         _log.info(
             "engine_ordered",
@@ -244,21 +244,21 @@
         )
         match outcome:
             case OrderOutcome.FENCED:
-                self._lease.note_fenced(held.fence)
+                self._lease.record_fenced(held.fence)
             case OrderOutcome.ACCEPTED | OrderOutcome.UNKNOWN:
-                await self._await_load(load, began)
+                await self._await_load(load, ordered_at)
             case OrderOutcome.CONFLICT | OrderOutcome.REFUSED:
                 self._pause_engine(load)
 
-    async def _await_load(self, load: _Load, began: float) -> None:
+    async def _await_load(self, load: _Load, ordered_at: float) -> None:
         shortest = self._shortest_load
         first = _FIRST_POLL_TIME if shortest is None else _FIRST_POLL_SHARE * shortest
         await asyncio.sleep(first)
-        while boot_time() < began + _LOAD_TIMEOUT:
+        while boot_time() < ordered_at + _LOAD_TIMEOUT:
             state = await self._request_state(load.engine)
             if state is not None:
-                if self._note_reached(load, state):
-                    self._load_times.append(boot_time() - began)
+                if self._record_if_loaded(load, state):
+                    self._load_times.append(boot_time() - ordered_at)
                     return
                 if not state.busy:
                     # The order was lost; the next check of the engines repeats it.
@@ -268,8 +268,8 @@
 
     async def _request_state(self, engine: EngineEntry) -> EngineState | None:
         """
-        Return an engine's report; None if there is none, or if it is from another
-        incarnation.
+        Return the state that an engine reports; None without one, or if another
+        incarnation reports it.
         """
         state = await self._engines.state(engine)
         if state is None or state.belongs_to(engine):
@@ -286,12 +286,15 @@
         weights = self._engine_weights[load.engine.incarnation]
         weights.paused_until = boot_time() + _RETRY_PAUSE
 
-    def _note_reached(self, load: _Load, state: EngineState) -> bool:
+    def _record_if_loaded(self, load: _Load, state: EngineState) -> bool:
+        """
+        Record the version that an engine reports; return whether the load is complete.
+        """
         now = state.versions.get(load.model, 0)
         if now < load.version or state.busy:
             return False
         engine = load.engine
-        self._engine_weights[engine.incarnation].reached[load.model] = now
+        self._engine_weights[engine.incarnation].loaded_versions[load.model] = now
         _log.info(
             "engine_reached", engine=engine.engine_id, model=load.model, version=now
         )
--- a/packages/saddledoord/src/saddledoord/ports/duties.py
+++ b/packages/saddledoord/src/saddledoord/ports/duties.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Interface of the platform for calls by the VM that has a duty.
+Interface of the platform for calls by the VM that holds the lease of a duty.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
     :param window: Number of the window.
     :param counts: Number of requests by workspace.
-    :param holder: Name of the VM that has the duty.
+    :param holder: Name of the VM that holds the lease of the duty.
     :param fence: Fencing number of its lease.
     """
 
--- a/packages/saddledoord/src/saddledoord/ports/engines.py
+++ b/packages/saddledoord/src/saddledoord/ports/engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Interface of backend servers: requests, generations, reports and orders.
+Interface of engines: requests, generations, reported states and orders.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 @dataclass(frozen=True)
 class ForwardedRequest:
     """
-    A caller's request as it is sent to a backend server.
+    A caller's request as it is sent to an engine.
 
     :param target: Path and query, as the caller wrote them.
     :param headers: End-to-end headers only, without the deadline header.
@@ -52,9 +52,9 @@
 @dataclass(frozen=True)
 class EngineAnswer:
     """
-    The complete answer of a backend server.
+    The complete answer of an engine.
 
-    :param signature: The server's signature of the answer; empty without one.
+    :param signature: The engine's signature of the answer; empty without one.
     """
 
     status: int
@@ -66,9 +66,9 @@
 @dataclass(frozen=True)
 class UnusableAnswer(OutcomeUnknown):
     """
-    The backend server answered, but not with a signed answer to this request.
+    The engine answered, but not with a signed answer to this request.
 
-    The server is alive, and is most likely finished with the request.
+    The engine is alive, and is most likely finished with the request.
     """
 
 
@@ -177,7 +177,7 @@
 
 class Engines(Protocol):
     """
-    Calls to backend servers.
+    Calls to engines.
     """
 
     async def call(
@@ -186,7 +186,7 @@
         """
         Send a request and return its complete answer.
 
-        :param deadline: Time that is left to the caller, in seconds.
+        :param deadline: Time that the caller still waits, in seconds.
         """
 
     def generate(
--- a/packages/saddledoord/src/saddledoord/ports/store.py
+++ b/packages/saddledoord/src/saddledoord/ports/store.py
@@ -183,7 +183,8 @@
 
 class Registry(Protocol):
     """
-    A table of keys that others write: the operator's documents or the engines' entries.
+    A table of keys that others write: the operator's configurations and named versions,
+    or the engines' entries.
     """
 
     async def newest(self) -> KeyedPage:
@@ -206,7 +207,7 @@
 @dataclass(frozen=True)
 class NamedVersion:
     """
-    A weight version that a trainer has named.
+    A weight version that a trainer has named as the one that engines should load.
     """
 
     model: str
--- a/tests/guard_rows/nodes.py
+++ b/tests/guard_rows/nodes.py
@@ -22,7 +22,7 @@
     Guard(
         "another machine waits for the lease's term",
         f"{DAEMON}/cluster/leases.py",
-        "if machine == self._machine:",
+        "if node == self._node:",
         "if True:",
         (WEIGHTS, "rising_fences"),
     ),
@@ -78,8 +78,8 @@
     Guard(
         "a large page gets a longer timeout",
         f"{DAEMON}/cluster/store_watch.py",
-        "expected = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)",
-        "expected = wait",
+        "wait_allowed = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)",
+        "wait_allowed = wait",
         (WATCH, "large_page"),
     ),
     Guard(
--- a/tests/test_usage_duty.py
+++ b/tests/test_usage_duty.py
@@ -42,7 +42,7 @@
             return None
         return HeldLease("usage", self.fence, boot_time() + 10.0)
 
-    def note_fenced(self, fence: int) -> None:
+    def record_fenced(self, fence: int) -> None:
         self.fenced_at.append(fence)
         self.fence = None
 
--- a/tests/test_work_shares.py
+++ b/tests/test_work_shares.py
@@ -31,8 +31,8 @@
         self.changes: list[bool] = []
 
     @property
-    def owns(self) -> bool:
-        return self.shares.owns("pool")
+    def holds(self) -> bool:
+        return self.shares.holds("pool")
 
     def _wanted(self) -> set[str]:
         self.checks += 1
@@ -42,10 +42,10 @@
         self.acquisitions += 1
         await asyncio.sleep(self.acquire_time)
         # The share must not count as held before the previous holder's state is read.
-        assert not self.owns
+        assert not self.holds
 
     async def _on_change(self) -> None:
-        self.changes.append(self.owns)
+        self.changes.append(self.holds)
 
     @asynccontextmanager
     async def running(self):
@@ -72,7 +72,7 @@
 
 
 def _owners(*nodes: _Node) -> list[bool]:
-    return [node.owns for node in nodes]
+    return [node.holds for node in nodes]
 
 
 def test_one_of_several_nodes_takes_a_share_and_keeps_it():
@@ -104,12 +104,12 @@
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running():
-            await _until(lambda: a.owns)
+            await _until(lambda: a.holds)
             await a.shares.release()
             async with b.running():
-                await _until(lambda: b.owns)
+                await _until(lambda: b.holds)
             await asyncio.sleep(1.6)
-            assert not a.owns
+            assert not a.holds
 
     asyncio.run(scenario())
 
@@ -123,11 +123,11 @@
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running():
-            await _until(lambda: a.owns)
+            await _until(lambda: a.holds)
             async with b.running():
                 await asyncio.sleep(0.3)
                 await a.shares.release()
-                assert await _until(lambda: b.owns) < 0.5
+                assert await _until(lambda: b.holds) < 0.5
                 await asyncio.sleep(0.3)
                 assert _owners(a, b) == [False, True]
 
@@ -144,11 +144,11 @@
         a, b = _Node(log, "a"), _Node(log, "b")
         async with AsyncExitStack() as rest:
             async with a.running():
-                await _until(lambda: a.owns)
+                await _until(lambda: a.holds)
                 await rest.enter_async_context(b.running())
                 await asyncio.sleep(1.5)
                 assert _owners(a, b) == [True, False]
-            assert 0.5 < await _until(lambda: b.owns) < 1.6
+            assert 0.5 < await _until(lambda: b.holds) < 1.6
 
     asyncio.run(scenario())
 
@@ -162,9 +162,9 @@
         log = FakeLog()
         before, after, other = _Node(log, "a"), _Node(log, "a"), _Node(log, "b")
         async with before.running():
-            await _until(lambda: before.owns)
+            await _until(lambda: before.holds)
         async with after.running(), other.running():
-            assert await _until(lambda: after.owns) < 0.5
+            assert await _until(lambda: after.holds) < 0.5
 
     asyncio.run(scenario())
 
@@ -179,7 +179,7 @@
         a, b = _Node(log, "a"), _Node(log, "b")
         async with AsyncExitStack() as rest:
             async with a.running():
-                await _until(lambda: a.owns)
+                await _until(lambda: a.holds)
                 await rest.enter_async_context(b.running())
                 await asyncio.sleep(0.3)
                 log.away = True
@@ -204,15 +204,15 @@
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running():
-            await _until(lambda: a.owns)
+            await _until(lambda: a.holds)
         # The first node is paused and still considers itself the holder.
         async with b.running():
-            await _until(lambda: b.owns)
-            assert a.owns
+            await _until(lambda: b.holds)
+            assert a.holds
             async with a.running():
-                await _until(lambda: not a.owns)
+                await _until(lambda: not a.holds)
             assert a.changes[-1] is False
-            assert b.owns
+            assert b.holds
 
     asyncio.run(scenario())
 
@@ -227,7 +227,7 @@
         log.lose = 1
         node = _Node(log, "a")
         async with node.running():
-            await _until(lambda: node.owns)
+            await _until(lambda: node.holds)
 
     asyncio.run(scenario())
 
@@ -243,13 +243,13 @@
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running(), b.running():
-            await _until(lambda: a.owns)
+            await _until(lambda: a.holds)
             await asyncio.sleep(0.6)
             before = a.checks + b.checks
             await asyncio.sleep(1.0)
             # One check each 0.1 s, and one for each renewal.
             assert a.checks + b.checks - before < 40
-            assert not b.owns
+            assert not b.holds
 
     asyncio.run(scenario())
 
@@ -279,7 +279,7 @@
         log = FakeLog()
         a, b = _Node(log, "a"), _Node(log, "b")
         async with a.running(), AsyncExitStack() as rest:
-            await _until(lambda: a.owns)
+            await _until(lambda: a.holds)
             await rest.enter_async_context(b.running())
             await asyncio.sleep(0.3)
             log.away = True
@@ -303,7 +303,7 @@
         async with a.running():
             await _until(lambda: a.leases.is_mine("share/pool"))
             async with b.running():
-                await _until(lambda: a.owns)
+                await _until(lambda: a.holds)
                 assert not b.leases.is_mine("share/pool")
 
     asyncio.run(scenario())
