--- a/packages/saddledoord/src/saddledoord/__init__.py
+++ b/packages/saddledoord/src/saddledoord/__init__.py
@@ -1,5 +1,6 @@
 # SPDX-License-Identifier: MIT
 
 """
-The saddledoor daemon: network, log and event loop around the saddledoor library.
+Servers built on the saddledoor library: the daemon (`_daemon`) and the gateway
+(`gateway`).
 """
--- a/packages/saddledoord/src/saddledoord/_pipeline.py
+++ b/packages/saddledoord/src/saddledoord/_pipeline.py
@@ -240,14 +240,17 @@
         issuer = IssuedKeys.issuer(job.key)
         if issuer == self._state.owner.encode().hex():
             return await self.run_issued(work)
-        spent = OutcomeUnknown(
+        outcome_unknown = OutcomeUnknown(
             ResultCode.KEY_SPENT, "the key's VM is not there any more"
         )
         address = self._known_peer(issuer)
         if address is None:
-            return spent
+            return outcome_unknown
         try:
-            return await self._peers.call(address, work, work.timeout_s + 1) or spent
+            return (
+                await self._peers.call(address, work, work.timeout_s + 1)
+                or outcome_unknown
+            )
         except PeerUnavailableError as error:
             # Retrying with the same key is safe: its issuer tracks whether it was used.
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, str(error))
--- a/packages/saddledoord/src/saddledoord/cluster/follow.py
+++ b/packages/saddledoord/src/saddledoord/cluster/follow.py
@@ -95,8 +95,8 @@
 
     :param apply: Called with each offset and record; raises `UndecodableRecordError`
         for a record that it cannot decode.
-    :param on_reachable: Called with false when the store becomes unavailable, and with
-        true when it answers again.
+    :param on_reachable: Called with False when the store becomes unavailable, and with
+        True when it answers again.
     :param wait: How long a read waits at the store for new records, in seconds.
     :param answer_timeout: Longest wait for an answer beyond that, in seconds.
     :param batch_delay: Returns the pause after new records, in seconds, in which
@@ -288,8 +288,8 @@
 
     :param apply: Called with each change that is newer than the key's last one.
     :param on_reload: Called with the existing keys after all keys have been read.
-    :param on_reachable: Called with false when the store becomes unavailable, and with
-        true when it answers again.
+    :param on_reachable: Called with False when the store becomes unavailable, and with
+        True when it answers again.
     """
 
     def __init__(
--- a/packages/saddledoord/src/saddledoord/duties/usage_counter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_counter.py
@@ -24,9 +24,9 @@
 
 #: The log stream of counts and decisions; only the lease holder reads it.
 USAGE_STREAM = "usage"
-#: Time for which counts are gathered before they are written, in seconds; a crash loses
-#: the counts of this time.
-_GATHER = 0.5
+#: Time for which counts are collected before they are written, in seconds; a crash
+#: loses the counts of this time.
+_BATCH_DELAY = 0.5
 #: Timeout of an append, in seconds.
 _APPEND_TIMEOUT = 0.6
 
@@ -75,9 +75,9 @@
         """
         while True:
             try:
-                async with asyncio.timeout(_GATHER):
+                async with asyncio.timeout(_BATCH_DELAY):
                     await self._has_counts.wait()
-                await asyncio.sleep(_GATHER)
+                await asyncio.sleep(_BATCH_DELAY)
             except TimeoutError:
                 pass
             self._time.observe(self._unix_time(), boot_time())
--- a/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
+++ b/packages/saddledoord/src/saddledoord/duties/usage_reporter.py
@@ -74,7 +74,7 @@
         self._counter = counter
         self._windows = windows
         self._holder = holder
-        self._book = UsageFold()
+        self._fold = UsageFold()
         self._next_offset = 0
         self._sent: set[int] = set()
         self._failing_since: float | None = None
@@ -112,17 +112,17 @@
         Return the decided windows whose report may be missing, then those that may be
         decided, each oldest first.
         """
-        book, windows = self._book, self._windows
-        known = windows.windows_to_resend(now, book.last_decided)
-        decided = [window for window in known if book.decided(window) is not None]
-        return decided + windows.windows_to_decide(now, book.first_undecided)
+        fold, windows = self._fold, self._windows
+        known = windows.windows_to_resend(now, fold.last_decided)
+        decided = [window for window in known if fold.decided(window) is not None]
+        return decided + windows.windows_to_decide(now, fold.first_undecided)
 
     def _is_ready(self, window: int, now: float) -> bool:
         """
         Whether a window is decided, or may be since all nodes have counted it or its
         wait has expired.
         """
-        if self._book.decided(window) is not None or self._book.is_complete(window):
+        if self._fold.decided(window) is not None or self._fold.is_complete(window):
             return True
         return window <= self._windows.last_wait_expired(now)
 
@@ -148,15 +148,15 @@
         match outcome:
             case DutyOutcome.DONE:
                 self._failing_since = None
-                self._note_sent(window)
+                self._record_sent(window)
                 return True
             case DutyOutcome.FENCED:
                 self._lease.record_fenced(held.fence)
             case DutyOutcome.REFUSED | DutyOutcome.UNKNOWN:
-                await self._note_failure()
+                await self._record_failure()
         return False
 
-    def _note_sent(self, window: int) -> None:
+    def _record_sent(self, window: int) -> None:
         """
         Remember a reported window for as long as its report could be repeated.
         """
@@ -167,14 +167,14 @@
         """
         Return the decided counts of a window; None if there is no decision yet.
         """
-        decided = self._book.decided(window)
+        decided = self._fold.decided(window)
         if decided is not None:
             return decided
-        record = UsageDecided(window, self._book.counted(window))
+        record = UsageDecided(window, self._fold.counted(window))
         await self._log.append(USAGE_STREAM, [encode_record(record).encode()])
         # The first decision in the log counts, also if the append has failed.
         await self._read_log()
-        return self._book.decided(window)
+        return self._fold.decided(window)
 
     async def _read_log(self) -> None:
         """
@@ -196,7 +196,7 @@
 
     def _apply(self, data: bytes) -> None:
         try:
-            self._book.apply(decode_record(data))
+            self._fold.apply(decode_record(data))
         except UndecodableRecordError as error:
             _log.error(
                 "record_skipped",
@@ -205,7 +205,7 @@
                 reason=str(error),
             )
 
-    async def _note_failure(self) -> None:
+    async def _record_failure(self) -> None:
         now = boot_time()
         if self._failing_since is None:
             self._failing_since = now
--- a/packages/saddledoord/src/saddledoord/gateway.py
+++ b/packages/saddledoord/src/saddledoord/gateway.py
@@ -2,6 +2,9 @@
 
 """
 Builds the gateway: pass-through, batch jobs and weight orders over one shared log.
+
+The platform's entry VMs run `Gateway`. `_daemon.Daemon` is a separate server, which
+does not use it.
 """
 
 from __future__ import annotations
@@ -81,7 +84,7 @@
         sent to an engine, in seconds.
     :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log keeps records, in seconds.
-    :param key_bounds: Freshness limits of what is known of keys.
+    :param key_bounds: Freshness bounds for the known keys.
     :param usage: Windows of the usage that is reported; None if no usage is reported.
     """
 
@@ -208,7 +211,7 @@
             self._shares.holds,
             self._log_freshness,
         )
-        self.jobs.on_change(self._wake)
+        self.jobs.on_record(self._wake)
         self._lease = DutyLease(self._leases, "orders", settings.lease_term)
         self._usage: UsageDuty | None = None
         if ports.duties is not None and settings.usage is not None:
@@ -318,7 +321,7 @@
         while not await self.jobs.sync() and boot_time() < started_at + store_timeout:
             await asyncio.sleep(_RETRY_PAUSE)
         self._runner.hand_over()
-        flushed = await self._writer.flushed(_FLUSH_TIMEOUT)
+        flushed = await self._writer.wait_until_flushed(_FLUSH_TIMEOUT)
         await self._shares.release()
         await asyncio.gather(self._lease.release(), self._release_usage())
         _log.info(
@@ -349,7 +352,7 @@
     def _log_read_state(self) -> LogReadState:
         return LogReadState(
             self.jobs.synced_at,
-            self.jobs.store_reached,
+            self.jobs.is_store_reachable,
             self._process_pauses.ended_at,
         )
 
@@ -371,7 +374,7 @@
         """
         self._runner.drop_unowned()
         self._runner.wake()
-        await self._writer.flushed(_HAND_OVER_TIMEOUT)
+        await self._writer.wait_until_flushed(_HAND_OVER_TIMEOUT)
 
     def _wake(self) -> None:
         self._runner.wake()
--- a/packages/saddledoord/src/saddledoord/jobs/attempt.py
+++ b/packages/saddledoord/src/saddledoord/jobs/attempt.py
@@ -24,15 +24,16 @@
 
 #: Silence after which a stream counts as broken, in seconds; longer than a load of
 #: weights.
-_SILENCE = 2.0
+_STREAM_TIMEOUT = 2.0
 #: Shortest silence of an engine on all its streams after which its items move to
-#: another engine, in seconds: between events, and before its first event.
-_STALL = 0.25
-_STALL_FIRST = 0.5
-#: The same limit as a multiple of the engine's mean gap between events.
+#: another engine, in seconds.
+_MIN_STALL = 0.25
+#: The same limit while the engine's mean gap between events is unknown, in seconds.
+_FIRST_EVENT_STALL = 0.5
+#: The same limit as a multiple of the mean gap; at least `_MIN_STALL`.
 _STALL_GAPS = 6.0
-#: Silence after which `ItemTimes` counts a stream as paused, in seconds.
-_PAUSE = 0.5
+#: Silence after which the time of an item is counted as `ItemPhase.PAUSE`, in seconds.
+_MIN_PAUSE = 0.5
 #: Interval between checks of a silent stream, in seconds.
 _CHECK_INTERVAL = 0.05
 #: Events between two checks whether the item should move to a faster engine.
@@ -66,9 +67,9 @@
         paces: EnginePaces,
         placement: Placement,
         timeouts: EngineTimeouts,
-        crashes: EngineCrashWatch,
+        crash_watch: EngineCrashWatch,
     ) -> None:
-        self._crashes = crashes
+        self._crash_watch = crash_watch
         self._timeouts = timeouts
         self._engines = engines
         self._paces = paces
@@ -81,7 +82,7 @@
         :raises GenerationFailedError: If the text is still incomplete.
         """
         try:
-            with self._crashes.track_run(engine.incarnation, run.key) as at_engine:
+            with self._crash_watch.track_run(engine.incarnation, run.key) as at_engine:
                 async with self._timeouts.within(engine.incarnation):
                     await self._run_tracked(run, route, engine, at_engine)
         except TimeoutError:
@@ -116,7 +117,7 @@
     ) -> None:
         generation = Generation(run.request, run.text.last, _URGENCY)
         stream = self._engines.generate(engine, generation)
-        resumed_after, began_at = run.text.last, boot_time()
+        resumed_after, started_at = run.text.last, boot_time()
         last: float | None = None
         try:
             while True:
@@ -125,13 +126,16 @@
                     return
                 now = boot_time()
                 if last is None:
-                    self._placement.note_started(engine, run.state.job.model)
+                    self._placement.record_started(engine, run.state.job.model)
                 run.times.enter(ItemPhase.EVENTS, now)
                 self._paces.observe(engine.incarnation, last and now - last, now)
                 last = now
                 self._add_event(run, route, engine, event)
-                made = run.text.last - resumed_after
-                if made % _PACE_CHECK_EVENTS == 0 and now - began_at >= _MIN_STAY_TIME:
+                received = run.text.last - resumed_after
+                if (
+                    received % _PACE_CHECK_EVENTS == 0
+                    and now - started_at >= _MIN_STAY_TIME
+                ):
                     self._check_pace(run, engine)
         finally:
             # Closes the connection, which stops the generation at the engine.
@@ -140,16 +144,16 @@
     async def _next_event(
         self, stream, run: ItemRun, engine: EngineEntry
     ) -> GeneratedEvent | None:
-        began = boot_time()
+        waiting_since = boot_time()
         pending = asyncio.ensure_future(anext(stream, None))
         try:
             while True:
                 await asyncio.wait({pending}, timeout=_CHECK_INTERVAL)
                 if pending.done():
                     return pending.result()
-                silence = boot_time() - began
-                if silence > _PAUSE and run.times.phase is ItemPhase.EVENTS:
-                    run.times.enter(ItemPhase.PAUSE, began + _PAUSE)
+                silence = boot_time() - waiting_since
+                if silence > _MIN_PAUSE and run.times.phase is ItemPhase.EVENTS:
+                    run.times.enter(ItemPhase.PAUSE, waiting_since + _MIN_PAUSE)
                 self._check_silence(run, engine, silence)
         finally:
             if not pending.done():
@@ -157,7 +161,7 @@
                 await asyncio.wait({pending})
 
     def _check_silence(self, run: ItemRun, engine: EngineEntry, silence: float) -> None:
-        if silence > _SILENCE:
+        if silence > _STREAM_TIMEOUT:
             raise GenerationFailedError(GenerationFailedError.BROKEN, "silent")
         now = boot_time()
         silence = min(silence, self._paces.silent_for(engine.incarnation, now))
@@ -175,7 +179,9 @@
         engines are slower than expected.
         """
         gap = self._paces.gap(engine.incarnation, now)
-        limit = _STALL_FIRST if gap is None else max(_STALL, _STALL_GAPS * gap)
+        limit = (
+            _FIRST_EVENT_STALL if gap is None else max(_MIN_STALL, _STALL_GAPS * gap)
+        )
         return limit * 2**run.stalls
 
     def _check_pace(self, run: ItemRun, engine: EngineEntry) -> None:
@@ -196,7 +202,7 @@
     ) -> None:
         job = run.state.job
         if event.version is not None:
-            self._placement.note_version(engine, job.model, event.version)
+            self._placement.record_version(engine, job.model, event.version)
         mixed = run.text.versions and event.version not in run.text.versions
         if route.single_version and mixed:
             run.discard_text()
--- a/packages/saddledoord/src/saddledoord/jobs/item_loader.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_loader.py
@@ -33,7 +33,7 @@
     """
     Loads the items of jobs, with one read for each job at a time.
 
-    :param tried: Called when the read of a job has ended, successful or not.
+    :param on_read_ended: Called when the read of a job has ended, successful or not.
     """
 
     @property
@@ -43,9 +43,9 @@
         """
         return self._unreadable
 
-    def __init__(self, jobs: JobService, tried: Callable[[], None]) -> None:
+    def __init__(self, jobs: JobService, on_read_ended: Callable[[], None]) -> None:
         self._jobs = jobs
-        self._tried = tried
+        self._on_read_ended = on_read_ended
         self._reads: dict[str, asyncio.Task] = {}
         self._unreadable = 0
 
@@ -66,7 +66,7 @@
             return
         if task.exception() is not None:
             _log.error("items_task_failed", job=job_id, exc_info=task.exception())
-        self._tried()
+        self._on_read_ended()
 
     async def _read(self, state: JobState) -> None:
         pause = _PAUSE
@@ -81,10 +81,12 @@
                 return
             except UndecodableRecordError as error:
                 if pause == _PAUSE:
-                    self._note_unreadable(state, error)
+                    self._record_unreadable(state, error)
             await asyncio.sleep(pause)
             pause = min(_MAX_PAUSE, 2 * pause)
 
-    def _note_unreadable(self, state: JobState, error: UndecodableRecordError) -> None:
+    def _record_unreadable(
+        self, state: JobState, error: UndecodableRecordError
+    ) -> None:
         self._unreadable += 1
         _log.error("items_unreadable", job=state.job.job_id, reason=str(error))
--- a/packages/saddledoord/src/saddledoord/jobs/item_run.py
+++ b/packages/saddledoord/src/saddledoord/jobs/item_run.py
@@ -43,10 +43,12 @@
     :param task: Task that runs or scores the item; None while it waits for an engine.
     :param result_queued: Whether its result is queued for the log.
     :param result_logged: Whether the log holds its result.
-    :param is_long: Whether its text is expected to be among the step's longest.
+    :param is_long: Whether its text is expected to be among the longest of its training
+        step.
     :param failures: Number of failed runs; ahead of the number in the log.
-    :param persisted: Number of events handed to the record writer.
-    :param persisted_chain: Id of the run that made the last of them.
+    :param persisted: Number of events of the last checkpoint, queued or in the log.
+    :param persisted_chain: Random id (chain) of the `EventText` that holds the last of
+        them; each load or restart of a text begins a new chain.
     :param persisting: Whether the append of these events is in flight.
     :param loaded: Whether the events in the log have been read.
     :param stalls: Number of moves away from silent engines.
@@ -77,7 +79,7 @@
     times: ItemTimes = field(default_factory=lambda: ItemTimes(boot_time()))
 
     @classmethod
-    def begin(cls, state: JobState, item: JobItem) -> ItemRun:
+    def create(cls, state: JobState, item: JobItem) -> ItemRun:
         """
         Create the state of an item, with the number of failed runs in the log.
         """
@@ -93,7 +95,7 @@
         """
         if self.loaded:
             return
-        logged = self.logged_parts
+        logged = self.checkpointed_text
         data = await texts.read(logged.parts)
         events = tuple(event for part in data for event in decode_events(part))
         self.text = EventText(
@@ -114,7 +116,7 @@
         )
 
     @property
-    def logged_parts(self) -> CheckpointedText:
+    def checkpointed_text(self) -> CheckpointedText:
         """
         The events of the text in the log, as far as this node has read it.
         """
@@ -170,12 +172,12 @@
         """
         Queue the new events for the log.
 
-        Queue all events if the log holds those of another run: the previous owner
-        wrote its last events late, or two nodes ran the item at once.
+        All events are queued if the log holds those of another node, which wrote late
+        or ran the item at the same time.
         """
         if self.unpersisted <= 0:
             return
-        held = self.logged_parts
+        held = self.checkpointed_text
         queued = (self.persisted, self.persisted_chain)
         if not self.persisting and (held.count, held.chain) != queued:
             self.persisted, self.persisted_chain = 0, ""
@@ -191,11 +193,11 @@
             part.versions,
         )
         self.persisting = True
-        writer.put_with_text(encode_events(part.events), record, self._note_persisted)
+        writer.put_with_text(encode_events(part.events), record, self._record_persisted)
         self.persisted = self.text.last
         self.persisted_chain = part.chain
 
-    def _note_persisted(self) -> None:
+    def _record_persisted(self) -> None:
         self.persisting = False
 
 
--- a/packages/saddledoord/src/saddledoord/jobs/log_freshness.py
+++ b/packages/saddledoord/src/saddledoord/jobs/log_freshness.py
@@ -25,12 +25,12 @@
     How far this node has read the jobs' log; times are monotonic, in seconds.
 
     :param synced_at: When this node last had read the whole log.
-    :param reached: Whether the store answered the last read.
+    :param is_store_reachable: Whether the store answered the last read.
     :param resumed_at: When the process last resumed after a pause.
     """
 
     synced_at: float
-    reached: bool
+    is_store_reachable: bool
     resumed_at: float
 
 
@@ -38,9 +38,9 @@
     """
     Tells whether this node would know that a job has ended.
 
-    After a process pause it does not before a new read of the log. The read in flight
-    during the pause times out on resume, which looks like an unreachable store although
-    other nodes may have ended jobs.
+    After a process pause it cannot tell before the log has been read again. The read in
+    flight during the pause times out on resume, which looks like an unreachable store
+    although other nodes may have ended jobs.
 
     :param read_state: Returns how far the log has been read.
     :param cancel_limit: Time after the end of a job from which no work of it may reach
@@ -75,8 +75,8 @@
         return self._is_fresh(now, float("inf"))
 
     def _is_fresh(self, now: float, limit_unreachable: float) -> bool:
-        view = self._read_state()
-        if view.synced_at < view.resumed_at:
+        read_state = self._read_state()
+        if read_state.synced_at < read_state.resumed_at:
             return False
-        limit = self._fresh_for if view.reached else limit_unreachable
-        return now - view.synced_at < limit
+        limit = self._fresh_for if read_state.is_store_reachable else limit_unreachable
+        return now - read_state.synced_at < limit
--- a/packages/saddledoord/src/saddledoord/jobs/placement.py
+++ b/packages/saddledoord/src/saddledoord/jobs/placement.py
@@ -61,13 +61,13 @@
         self._lengths: dict[str, TextLengthEstimator] = {}
         self._running: EngineTable[set[ItemRun]] = view.engine_tables.table(set)
 
-    def note_expected_lengths(self, job: JobOpened, items: Iterable[JobItem]) -> None:
+    def record_expected_lengths(self, job: JobOpened, items: Iterable[JobItem]) -> None:
         """
         Record the text lengths that the trainer expects for a new job.
         """
         self._lengths_of(job).announce([item.expected_tokens for item in items])
 
-    def note_finished(self, run: ItemRun) -> None:
+    def record_finished(self, run: ItemRun) -> None:
         """
         Record the length of a finished text.
         """
@@ -88,13 +88,13 @@
 
         return Reservation(release_reservation)
 
-    def note_started(self, engine: EngineEntry, model: str) -> None:
+    def record_started(self, engine: EngineEntry, model: str) -> None:
         """
         Record that an engine has started to generate an item of a model.
         """
         self._pool.record_success(engine, model)
 
-    def note_version(self, engine: EngineEntry, model: str, version: int) -> None:
+    def record_version(self, engine: EngineEntry, model: str, version: int) -> None:
         """
         Record the weight version under which an engine made an event.
         """
--- a/packages/saddledoord/src/saddledoord/jobs/record_writer.py
+++ b/packages/saddledoord/src/saddledoord/jobs/record_writer.py
@@ -21,8 +21,8 @@
 
 #: The log stream of the job records.
 JOBS_STREAM = "jobs"
-#: Time for which records are gathered for one batch, in seconds.
-_GATHER = 0.02
+#: Time for which records are collected for one batch, in seconds.
+_BATCH_DELAY = 0.02
 #: Most records in one batch.
 _MAX_RECORDS = 1000
 #: Text in a batch, in bytes, from which no further record is added; bounds how long the
@@ -36,13 +36,13 @@
     A queued record.
 
     :param text: Its text, which is written first; empty for a record without one.
-    :param record_of: Makes the record from the position of its text.
-    :param written: Called when the log has acknowledged the record.
+    :param make_record: Makes the record from the position of its text.
+    :param on_written: Called when the log has acknowledged the record.
     """
 
     text: bytes
-    record_of: Callable[[StoredText], JobRecord]
-    written: Callable[[], None]
+    make_record: Callable[[StoredText], JobRecord]
+    on_written: Callable[[], None]
 
 
 def _do_nothing() -> None:
@@ -74,20 +74,20 @@
     def put_with_text(
         self,
         text: bytes,
-        record_of: Callable[[StoredText], JobRecord],
-        written: Callable[[], None] = _do_nothing,
+        make_record: Callable[[StoredText], JobRecord],
+        on_written: Callable[[], None] = _do_nothing,
     ) -> None:
         """
         Queue a text and the record that refers to it.
 
-        :param record_of: Makes the record from the position of its text.
-        :param written: Called when the log has acknowledged the record.
+        :param make_record: Makes the record from the position of its text.
+        :param on_written: Called when the log has acknowledged the record.
         """
-        self._queue.append(_QueuedRecord(text, record_of, written))
+        self._queue.append(_QueuedRecord(text, make_record, on_written))
         self._idle.clear()
         self._has_records.set()
 
-    async def flushed(self, timeout: float) -> bool:
+    async def wait_until_flushed(self, timeout: float) -> bool:
         """
         Wait until the queue is written; return False after a timeout, in seconds.
         """
@@ -104,16 +104,16 @@
         """
         while True:
             await self._has_records.wait()
-            await asyncio.sleep(_GATHER)
+            await asyncio.sleep(_BATCH_DELAY)
             batch = self._next_batch()
             positions = await self._texts.write([queued.text for queued in batch])
             records = [
-                encode_job_record(queued.record_of(position))
+                encode_job_record(queued.make_record(position))
                 for queued, position in zip(batch, positions, strict=True)
             ]
             await append_until_acknowledged(self._log, JOBS_STREAM, records)
             for queued in batch:
-                queued.written()
+                queued.on_written()
             if not self._queue:
                 self._idle.set()
 
--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -80,7 +80,7 @@
         unresponsive: UnresponsiveEngines,
         placement: Placement,
         attempts: AttemptRunner,
-        crashes: EngineCrashWatch,
+        crash_watch: EngineCrashWatch,
         writer: RecordWriter,
         texts: TextStore,
         scorer: Scorer,
@@ -97,7 +97,7 @@
         self._holds = holds
         self._log_freshness = log_freshness
         self._attempts = attempts
-        self._crashes = crashes
+        self._crash_watch = crash_watch
         self._placement = placement
         self._runs: dict[ItemKey, ItemRun] = {}
         self._items = ItemLoader(jobs, self.wake)
@@ -117,7 +117,7 @@
         while True:
             self._wake.clear()
             # After a process pause, read first which items have crashed engines.
-            await self._crashes.refresh()
+            await self._crash_watch.refresh()
             self._reconcile()
             if self._may_start():
                 self._dispatch()
@@ -180,13 +180,13 @@
                 self._drop(key, "not_wanted")
         new = [key for key in wanted if key not in self._runs]
         for key in new:
-            self._runs[key] = ItemRun.begin(*wanted[key])
+            self._runs[key] = ItemRun.create(*wanted[key])
         for job_id in {job_id for job_id, _ in new}:
             runs = [run for key, run in self._runs.items() if key[0] == job_id]
-            kept = sum(run.logged_parts.count for run in runs)
+            kept = sum(run.checkpointed_text.count for run in runs)
             items = sum(1 for key in new if key[0] == job_id)
             state = runs[0].state
-            self._placement.note_expected_lengths(state.job, state.items.values())
+            self._placement.record_expected_lengths(state.job, state.items.values())
             _log.info("job_taken_up", job=job_id, items=items, kept_events=kept)
 
     def _own_jobs(self) -> list[JobState]:
@@ -232,7 +232,7 @@
             if requirements in unavailable and not run.ineligible:
                 continue
             self._placement.update_is_long(run)
-            poison_status = self._crashes.poison_status(run.key)
+            poison_status = self._crash_watch.poison_status(run.key)
             if poison_status is PoisonStatus.QUARANTINED:
                 self._log_quarantined(run)
                 continue
@@ -255,7 +255,7 @@
         """
         if poison_status is PoisonStatus.CLEAN:
             return self._placement.choose(run, route, run.ineligible)
-        suspects = self._crashes.engines_with_suspects(run.key)
+        suspects = self._crash_watch.engines_with_suspects(run.key)
         isolated = self._placement.choose(run, route, run.ineligible | suspects)
         if isolated is not None or poison_status is PoisonStatus.AMBIGUOUS:
             return isolated
@@ -325,7 +325,7 @@
         # The slot is free for another item while this one is scored.
         self.wake()
         if complete:
-            self._placement.note_finished(run)
+            self._placement.record_finished(run)
             await self._finish(run)
         else:
             run.times.enter(ItemPhase.PLACE, boot_time())
@@ -342,7 +342,7 @@
                 "kept_text_not_loaded",
                 job=run.state.job.job_id,
                 item=run.item.item_id,
-                events=run.logged_parts.count,
+                events=run.checkpointed_text.count,
                 reason=str(error),
             )
             run.discard_text()
--- a/packages/saddledoord/src/saddledoord/jobs/scoring.py
+++ b/packages/saddledoord/src/saddledoord/jobs/scoring.py
@@ -45,7 +45,7 @@
 
 class Scorer:
     """
-    Retries scoring calls, which are safe to repeat, until one is answered.
+    Retries scoring calls, which are repeatable, until one is answered.
     """
 
     def __init__(self, view: ClusterView, pass_through: PassThrough) -> None:
@@ -86,8 +86,8 @@
                 continue
             if failures >= route.max_attempts:
                 raise ScoringFailedError(call.request_id)
-            # A slow instance may get a hedge at a second one, within the route's limit
-            # of failures.
+            # If an instance is slow, the call is also sent to a second one, within the
+            # route's limit of failures.
             allowed = min(_MAX_INSTANCES, route.max_attempts - failures)
             outcome = await self._pass_through.run(
                 replace(route, max_attempts=allowed),
--- a/packages/saddledoord/src/saddledoord/jobs/service.py
+++ b/packages/saddledoord/src/saddledoord/jobs/service.py
@@ -57,8 +57,8 @@
 
 #: Most text on one page of results, in bytes; the platform allows 1 MB.
 _MAX_PAGE_TEXT = 900_000
-#: Time, beyond the wait that the caller allows, after which a read of results starts no
-#: further read of texts, in seconds; leaves time to answer before the caller times out.
+#: Time after the end of the caller's wait from which no further text is read, in
+#: seconds; leaves time to answer before the caller times out.
 _TEXT_READ_LIMIT = 0.8
 #: Longest time for which an append to the log is retried, in seconds.
 _APPEND_RETRY_LIMIT = 1.2
@@ -73,7 +73,7 @@
 _RETENTION_MARGIN = 10.0
 #: Pause between reads of the log at a node that runs no jobs and has no waiting caller,
 #: in seconds. Without it each append would wake every node.
-_GATHER = 0.1
+_BATCH_DELAY = 0.1
 #: Interval between removals of expired jobs, in seconds.
 _EXPIRY_INTERVAL = 1.0
 
@@ -129,7 +129,8 @@
 
 class JobService:
     """
-    Answers callers from the job state of this node, after a read of the log if needed.
+    Answers callers from the jobs that this node has read from the log; reads the log
+    first if a job or its results may be missing.
 
     :param result_retention: Age up to which an ended job may be read, in seconds.
     :param retention: Age up to which the log retains records, in seconds.
@@ -140,7 +141,7 @@
     def __init__(
         self,
         log: SharedLog,
-        book: JobFold,
+        fold: JobFold,
         texts: TextStore,
         changes: ChangeNotifier,
         result_retention: float,
@@ -151,7 +152,7 @@
         self._log = log
         self._store_is_silent = store_is_silent
         self._runs_jobs = runs_jobs
-        self._book = book
+        self._fold = fold
         self._texts = texts
         self.set_retention(result_retention, retention)
         self._changes = changes
@@ -159,7 +160,7 @@
         self._expired_at = boot_time()
         self._unreadable: set[tuple[str, str]] = set()
         self._follower = LogFollower(
-            log, JOBS_STREAM, self._apply, batch_delay=self._gather
+            log, JOBS_STREAM, self._apply, batch_delay=self._batch_delay
         )
 
     @property
@@ -170,7 +171,7 @@
         return self._follower.caught_up
 
     @property
-    def store_reached(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """
         Whether the store answered the last read.
         """
@@ -201,20 +202,21 @@
         """
         Return the jobs with unfinished items, oldest first.
         """
-        return self._book.open_jobs()
+        return self._fold.open_jobs()
 
     def set_retention(self, result_retention: float, retention: float) -> None:
         """
-        Change the ages up to which jobs may be read and records are retained.
+        Change the ages up to which jobs may be read and records are retained, in
+        seconds.
         """
-        self._retain_ended = result_retention + _RETENTION_MARGIN
-        self._retain_open = max(self._retain_ended, retention)
+        self._ended_retention = result_retention + _RETENTION_MARGIN
+        self._open_retention = max(self._ended_retention, retention)
 
-    def on_change(self, changed) -> None:
+    def on_record(self, callback) -> None:
         """
         Set the function that is called after each record.
         """
-        self._on_record = changed
+        self._on_record = callback
 
     async def run(self) -> None:
         """
@@ -232,7 +234,7 @@
         """
         Append a job to the log; a repeated submission is accepted without a change.
         """
-        known = self._book.get(job.job_id)
+        known = self._fold.get(job.job_id)
         if known is not None:
             if known.job.may_be_seen_by(job.workspace):
                 return Accepted()
@@ -260,15 +262,16 @@
         Return results from a position on, as far as their texts are read in time.
 
         :param wait: Longest wait for a result at that position, in seconds.
-        :param caller: The caller's workspace, as in `Job`; jobs of other workspaces
-            do not exist for it.
+        :param caller: The caller's workspace, see `Job.may_be_seen_by`; None if
+            workspaces are not configured. A job of another workspace is answered as not
+            found.
         """
         texts_deadline = boot_time() + wait + _TEXT_READ_LIMIT
         state = await self._find(job_id, caller)
         if not isinstance(state, JobState):
             return state
         deadline = boot_time() + wait
-        if self._gather() and self.store_reached:
+        if self._batch_delay() and self.is_store_reachable:
             # The log may hold results that this node has not read yet.
             await self._follower.sync()
         while position >= len(state.results) and boot_time() < deadline:
@@ -380,11 +383,11 @@
     async def _find(
         self, job_id: str, caller: str | None
     ) -> JobState | JobNotFound | JobStateUnknown:
-        state = self._book.get(job_id)
+        state = self._fold.get(job_id)
         if state is None and not await self._follower.sync():
             _log.info("job_unsure", job=job_id, caught_up=self.caught_up)
             return JobStateUnknown()
-        state = self._book.get(job_id)
+        state = self._fold.get(job_id)
         if state is None:
             _log.info("job_unknown", job=job_id)
             return JobNotFound()
@@ -432,14 +435,16 @@
             return OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, reason)
         return NotRun(ResultCode.LOG_AWAY, reason, _RETRY_AFTER)
 
-    def _gather(self) -> float:
-        return 0.0 if self._runs_jobs() or self._changes.has_waiters else _GATHER
+    def _batch_delay(self) -> float:
+        return 0.0 if self._runs_jobs() or self._changes.has_waiters else _BATCH_DELAY
 
     def _apply(self, offset: int, data: bytes) -> None:
-        job_id = self._book.apply(decode_job_record(data), boot_time())
+        job_id = self._fold.apply(decode_job_record(data), boot_time())
         if boot_time() - self._expired_at > _EXPIRY_INTERVAL:
             self._expired_at = boot_time()
-            self._book.forget(self._expired_at, self._retain_ended, self._retain_open)
+            self._fold.forget(
+                self._expired_at, self._ended_retention, self._open_retention
+            )
         self._changes.notify(job_id)
         self._on_record()
 
--- a/packages/saddledoord/src/saddledoord/jobs/texts.py
+++ b/packages/saddledoord/src/saddledoord/jobs/texts.py
@@ -4,7 +4,8 @@
 Stores the texts of results and the items of jobs in a stream of their own.
 
 Every node reads all records of jobs, but reads a text only when a caller asks for it or
-an engine is to resume it.
+an engine is to resume it. Here a text is any bytes that a job record refers to: the
+text of a result, a part of it, or the items of a job.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 #: Largest page of one read, in bytes; `PageSize` lowers it for a slow link.
 _MAX_PAGE = 262_144
 #: Size of the cache of texts, in bytes.
-_REMEMBERED = 2_000_000
+_CACHE_SIZE = 2_000_000
 
 
 class TextStore:
@@ -83,10 +84,10 @@
         """
         wanted = sorted({offset for text in texts for offset in text.offsets})
         found = {o: self._cache[o] for o in wanted if o in self._cache}
-        asked = boot_time()
+        requested_at = boot_time()
         for offset in wanted:
             if offset not in found:
-                await self._read_page(offset, asked, found)
+                await self._read_page(offset, requested_at, found)
         return [b"".join(found[o] for o in text.offsets) for text in texts]
 
     async def read_first(
@@ -104,7 +105,7 @@
         """
         read: list[bytes] = []
         found: dict[int, bytes] = {}
-        asked = boot_time()
+        requested_at = boot_time()
         for text in texts:
             missing = [o for o in text.offsets if not self._is_known(o, found)]
             if read and missing and boot_time() >= deadline:
@@ -112,7 +113,7 @@
             try:
                 for offset in missing:
                     if offset not in found:
-                        await self._read_page(offset, asked, found)
+                        await self._read_page(offset, requested_at, found)
             except StoreUnavailableError as error:
                 if not read:
                     raise
@@ -146,13 +147,13 @@
         return offsets
 
     async def _read_page(
-        self, offset: int, asked: float, found: dict[int, bytes]
+        self, offset: int, requested_at: float, found: dict[int, bytes]
     ) -> None:
         """
         Read a page of records from an offset on.
 
-        :param asked: When the caller's request began, monotonic, in seconds; a read of
-            another caller that failed since then counts for it as well.
+        :param requested_at: When the caller's request began, monotonic, in seconds; a
+            read of another caller that failed since then counts for it as well.
         :raises StoreUnavailableError: If the record at the offset cannot be read now.
         """
         async with self._read_lock:
@@ -160,7 +161,7 @@
             if offset in self._cache:
                 found[offset] = self._cache[offset]
                 return
-            if self._failed_at > asked:
+            if self._failed_at > requested_at:
                 raise StoreUnavailableError("a concurrent read of texts failed")
             try:
                 page = await self._log.read(
@@ -187,6 +188,6 @@
             return
         self._cache[offset] = record
         self._cached_size += len(record)
-        while self._cached_size > _REMEMBERED:
+        while self._cached_size > _CACHE_SIZE:
             _, oldest = self._cache.popitem(last=False)
             self._cached_size -= len(oldest)
--- a/packages/saddledoord/src/saddledoord/ports/engines.py
+++ b/packages/saddledoord/src/saddledoord/ports/engines.py
@@ -136,7 +136,7 @@
 
     def belongs_to(self, engine: EngineEntry) -> bool:
         """
-        Return whether an entry is of the incarnation that reported this state; true if
+        Return whether an entry is of the incarnation that reported this state; True if
         either does not give the start of its process.
         """
         if self.started_at is None or engine.started_at is None:
@@ -205,7 +205,7 @@
 
     async def has_exited(self, engine: EngineEntry) -> bool:
         """
-        Whether no process serves at an engine's address; false if that is not certain.
+        Whether no process serves at an engine's address; False if that is not certain.
         """
 
     async def order(self, engine: EngineEntry, order: VersionOrder) -> str:
--- a/packages/saddledoord/src/saddledoord/process_pauses.py
+++ b/packages/saddledoord/src/saddledoord/process_pauses.py
@@ -31,10 +31,10 @@
 
 class ShutdownPoll:
     """
-    Polls of a process that ends once no request is in flight.
+    Tells whether a stopping process may close its listener.
 
     Right after a process pause connections may wait at the listener that closing it
-    would reset. So the process ends only after a poll that soon follows another one.
+    would reset. So the listener is closed only if two polls follow each other closely.
 
     :param clock: Returns the time, monotonic, in seconds, including suspension.
     """
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -36,7 +36,7 @@
     Guard(
         "no work is sent after a process pause before a read of the log",
         f"{DAEMON}/jobs/log_freshness.py",
-        "if view.synced_at < view.resumed_at:",
+        "if read_state.synced_at < read_state.resumed_at:",
         "if False:",
         (PROCESS_PAUSES, "stood_still_sends_nothing"),
     ),
@@ -142,8 +142,8 @@
     Guard(
         "a short text does not move for a faster engine",
         f"{DAEMON}/jobs/attempt.py",
-        "and now - began_at >= _MIN_STAY_TIME",
-        "and made",
+        "and now - started_at >= _MIN_STAY_TIME",
+        "and received",
         ("tests/test_attempt.py", "short_text"),
     ),
     Guard(
@@ -180,7 +180,7 @@
         f"{DAEMON}/jobs/service.py",
         "        self._changes.notify(job_id)\n",
         "        self._changes.notify(job_id)\n"
-        "        for r in getattr(self._book.get(job_id), 'results', ()):\n"
+        "        for r in getattr(self._fold.get(job_id), 'results', ()):\n"
         "            asyncio.ensure_future(self._texts.read([r.text]))\n",
         (JOBS, "reads_no_texts"),
     ),
@@ -215,7 +215,7 @@
     Guard(
         "a reader gets results that were listed since the last read",
         f"{DAEMON}/jobs/service.py",
-        "if self._gather() and self.store_reached:",
+        "if self._batch_delay() and self.is_store_reachable:",
         "if False:",
         (FOLLOW, "listed_just_now"),
     ),
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -76,7 +76,7 @@
         f"{DAEMON}/duties/usage_reporter.py",
         "        if decided is not None:\n            return decided\n",
         "        if decided is not None:\n"
-        "            return self._book.counted(window)\n",
+        "            return self._fold.counted(window)\n",
         (DUTY, "exactly_what_was_decided"),
     ),
     Guard(
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -81,7 +81,7 @@
             (
                 f"{DAEMON}/duties/usage_reporter.py",
                 "            return decided\n        record",
-                "            return self._book.counted(window)\n        record",
+                "            return self._fold.counted(window)\n        record",
             ),
         ),
     ),
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -45,10 +45,10 @@
     def __init__(self) -> None:
         self.versions: list[int] = []
 
-    def note_started(self, engine, model):
+    def record_started(self, engine, model):
         pass
 
-    def note_version(self, engine, model, version):
+    def record_version(self, engine, model, version):
         self.versions.append(version)
 
     def update_is_long(self, run):
@@ -66,7 +66,7 @@
     paces = EnginePaces(view.engine_tables)
     paces.observe(Incarnation("fast"), 0.001, boot_time())
     job = make_job(1)
-    run = ItemRun.begin(make_job_state(job), job.items[0])
+    run = ItemRun.create(make_job_state(job), job.items[0])
     timeouts = EngineTimeouts(view)
     attempts = AttemptRunner(
         _Engines(events, gap), paces, _Placement(), timeouts, make_crash_watch(view)
--- a/tests/test_engine_lives.py
+++ b/tests/test_engine_lives.py
@@ -95,7 +95,7 @@
 
     def item(self, oldest: int = 1) -> ItemRun:
         job = replace(make_job(1), model=MODEL, oldest_version=oldest)
-        return ItemRun.begin(make_job_state(job), job.items[0])
+        return ItemRun.create(make_job_state(job), job.items[0])
 
 
 class _MuteEngines:
@@ -168,7 +168,7 @@
     node.pool.record_refusal(before, MODEL)
     node.pool.record_overtaken(before)
     node.paces.observe(before.incarnation, 0.5, boot_time())
-    node.placement.note_version(before, MODEL, 2)
+    node.placement.record_version(before, MODEL, 2)
     route = make_route("/train/")
     assert node.placement.choose(node.item(), route, ()) is None
     node.put(after)
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -27,9 +27,9 @@
         self.texts: list[bytes] = []
         self._written = []
 
-    def put_with_text(self, text, record_of, written):
+    def put_with_text(self, text, make_record, written):
         self.texts.append(text)
-        self.records.append(record_of(StoredText((len(self.texts),), len(text))))
+        self.records.append(make_record(StoredText((len(self.texts),), len(text))))
         self._written.append(written)
 
     def finish(self):
@@ -39,7 +39,7 @@
 
 def _run(events: int) -> ItemRun:
     job = make_job(1)
-    run = ItemRun.begin(make_job_state(job), job.items[0])
+    run = ItemRun.create(make_job_state(job), job.items[0])
     _add_events(run, events)
     return run
 
--- a/tests/test_pass_through.py
+++ b/tests/test_pass_through.py
@@ -106,7 +106,9 @@
 @pytest.mark.parametrize(
     ("times", "next_choice"), [((1.0, 0.01), "desk-1"), ((0.2, 1.0), "desk-0")]
 )
-def test_only_an_engine_that_was_asked_first_counts_as_overtaken(times, next_choice):
+def test_only_the_engine_that_got_the_request_first_counts_as_overtaken(
+    times, next_choice
+):
     """
     An engine that received the request later is not considered slow.
     """
@@ -141,12 +143,12 @@
     engines = FunctionEngines(answer)
     pass_through, _, _ = make_pass_through(engines, make_route("/score/"))
 
-    async def ask():
+    async def run_request():
         route, request = make_route("/score/"), make_request("/score/x")
         deadline = boot_time() + 1.0
         return await pass_through.run(
             route, request, deadline, may_begin=lambda: allowed[0]
         )
 
-    assert isinstance(asyncio.run(ask()), EngineAnswer)
+    assert isinstance(asyncio.run(run_request()), EngineAnswer)
     assert len(engines.called) == 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -56,7 +56,7 @@
     def item(self, expected_tokens: int = 2000, first_seen_at: float = 0.0) -> ItemRun:
         job = replace(make_job(1), oldest_version=self._oldest)
         item = replace(job.items[0], expected_tokens=expected_tokens)
-        return ItemRun.begin(make_job_state(job, first_seen_at), item)
+        return ItemRun.create(make_job_state(job, first_seen_at), item)
 
     def pace(self, engine_id: str, gap: float) -> None:
         self.paces.observe(Incarnation(engine_id), gap, boot_time())
@@ -85,7 +85,7 @@
     setup = _Setup([1, 2], oldest=2)
     assert setup.chosen() == "e-1"
     assert setup.chosen("e-1") is None
-    setup.placement.note_version(make_engine_entry("e-0"), "model-a", 2)
+    setup.placement.record_version(make_engine_entry("e-0"), "model-a", 2)
     assert setup.chosen("e-1") == "e-0"
 
 
--- a/tests/test_texts.py
+++ b/tests/test_texts.py
@@ -98,7 +98,7 @@
     """
     The oldest texts are evicted and read again.
     """
-    monkeypatch.setattr(texts_module, "_REMEMBERED", 1000)
+    monkeypatch.setattr(texts_module, "_CACHE_SIZE", 1000)
     log = FakeLog()
 
     async def scenario():
--- a/tests/test_usage_duty.py
+++ b/tests/test_usage_duty.py
@@ -106,7 +106,7 @@
     monkeypatch.setattr(usage_reporter, "_CHECK_INTERVAL", 0.02)
     monkeypatch.setattr(usage_reporter, "_RETRY_PAUSE", 0.02)
     monkeypatch.setattr(usage_reporter, "_BACK_OFF_AFTER", 0.2)
-    monkeypatch.setattr("saddledoord.duties.usage_counter._GATHER", 0.02)
+    monkeypatch.setattr("saddledoord.duties.usage_counter._BATCH_DELAY", 0.02)
 
 
 async def _until(check: Callable[[], object]) -> None:
@@ -204,7 +204,7 @@
     asyncio.run(run())
 
 
-def test_two_nodes_that_believe_to_hold_the_lease_report_the_same():
+def test_two_nodes_that_both_assume_to_hold_the_lease_report_the_same():
     """
     Each sends the first decision in the log.
     """
--- a/tests/test_work_shares.py
+++ b/tests/test_work_shares.py
@@ -155,7 +155,7 @@
 
 def test_a_restarted_machine_claims_its_share_at_once():
     """
-    A restarted machine claims its share before the term has passed.
+    An earlier process of the VM has ended, so its term is not awaited.
     """
 
     async def scenario():
@@ -261,10 +261,10 @@
 
     async def scenario():
         log = FakeLog()
-        weak, strong = _Node(log, "weak", 0.5), _Node(log, "strong", 4.0)
-        async with weak.running(), strong.running():
-            await _until(lambda: any(_owners(weak, strong)))
-            assert _owners(weak, strong) == [False, True]
+        small, large = _Node(log, "small", 0.5), _Node(log, "large", 4.0)
+        async with small.running(), large.running():
+            await _until(lambda: any(_owners(small, large)))
+            assert _owners(small, large) == [False, True]
 
     for _ in range(7):
         asyncio.run(scenario())
