--- a/packages/saddledoord/src/saddledoord/serving/request_state.py
+++ b/packages/saddledoord/src/saddledoord/serving/request_state.py
@@ -64,7 +64,7 @@
     :param service: Name of the service that the route chose.
     :param attempts: The attempts so far.
     :param may_begin: Called before each attempt; none starts while it returns false.
-    :param first_start: Records when engines started the request.
+    :param first_start: Records when the first engine started the request.
     :param engines: Engine of each attempt's task, in the order of the attempts.
     :param last: Last outcome that is not `NotRun`; None before any.
     """
