--- a/packages/saddledoord/src/saddledoord/jobs/runner.py
+++ b/packages/saddledoord/src/saddledoord/jobs/runner.py
@@ -62,7 +62,7 @@
     """
     Dispatches the unfinished items of this node's jobs to engines with free slots.
 
-    :param owns: Tells whether this node owns a share of the jobs.
+    :param holds: Tells whether this node holds a work share.
     """
 
     @property
@@ -80,11 +80,11 @@
         unresponsive: UnresponsiveEngines,
         placement: Placement,
         attempts: AttemptRunner,
-        crashes: EngineCrashWatch,
+        crash_watch: EngineCrashWatch,
         writer: RecordWriter,
         texts: TextStore,
         scorer: Scorer,
-        owns: Callable[[str], bool],
+        holds: Callable[[str], bool],
         log_freshness: LogFreshness,
     ) -> None:
         self._jobs = jobs
@@ -94,10 +94,10 @@
         self._writer = writer
         self._texts = texts
         self._scorer = scorer
-        self._owns = owns
+        self._holds = holds
         self._log_freshness = log_freshness
         self._attempts = attempts
-        self._crashes = crashes
+        self._crash_watch = crash_watch
         self._placement = placement
         self._runs: dict[ItemKey, ItemRun] = {}
         self._items = ItemLoader(jobs, self.wake)
@@ -117,7 +117,7 @@
         while True:
             self._wake.clear()
             # After a process pause, read first which items have crashed engines.
-            await self._crashes.refresh()
+            await self._crash_watch.refresh()
             self._reconcile()
             if self._may_start():
                 self._dispatch()
@@ -159,7 +159,7 @@
 
     def _may_start(self) -> bool:
         """
-        Whether this node would know that a job has ended.
+        Whether items may be sent to engines; see `LogFreshness`.
         """
         return self._log_freshness.may_start(boot_time())
 
@@ -180,23 +180,25 @@
                 self._drop(key, "not_wanted")
         new = [key for key in wanted if key not in self._runs]
         for key in new:
-            self._runs[key] = ItemRun.begin(*wanted[key])
+            self._runs[key] = ItemRun.create(*wanted[key])
         for job_id in {job_id for job_id, _ in new}:
             runs = [run for key, run in self._runs.items() if key[0] == job_id]
-            kept = sum(run.logged_parts.count for run in runs)
+            kept = sum(run.checkpointed_text.count for run in runs)
             items = sum(1 for key in new if key[0] == job_id)
             state = runs[0].state
-            self._placement.note_expected_lengths(state.job, state.items.values())
+            self._placement.record_expected_lengths(state.job, state.items.values())
             _log.info("job_taken_up", job=job_id, items=items, kept_events=kept)
 
     def _own_jobs(self) -> list[JobState]:
         """
-        Return the open jobs of the shares that this node owns.
+        Return the open jobs of the work shares that this node holds.
         """
         if self._stopped:
             return []
         states = self._jobs.open_jobs()
-        return [state for state in states if self._owns(self._view.share_of(state.job))]
+        return [
+            state for state in states if self._holds(self._view.share_of(state.job))
+        ]
 
     def _drop(self, key: ItemKey, reason: str) -> None:
         run = self._runs.pop(key)
@@ -230,7 +232,7 @@
             if requirements in unavailable and not run.ineligible:
                 continue
             self._placement.update_is_long(run)
-            poison_status = self._crashes.poison_status(run.key)
+            poison_status = self._crash_watch.poison_status(run.key)
             if poison_status is PoisonStatus.QUARANTINED:
                 self._log_quarantined(run)
                 continue
@@ -253,7 +255,7 @@
         """
         if poison_status is PoisonStatus.CLEAN:
             return self._placement.choose(run, route, run.ineligible)
-        suspects = self._crashes.engines_with_suspects(run.key)
+        suspects = self._crash_watch.engines_with_suspects(run.key)
         isolated = self._placement.choose(run, route, run.ineligible | suspects)
         if isolated is not None or poison_status is PoisonStatus.AMBIGUOUS:
             return isolated
@@ -323,7 +325,7 @@
         # The slot is free for another item while this one is scored.
         self.wake()
         if complete:
-            self._placement.note_finished(run)
+            self._placement.record_finished(run)
             await self._finish(run)
         else:
             run.times.enter(ItemPhase.PLACE, boot_time())
@@ -340,7 +342,7 @@
                 "kept_text_not_loaded",
                 job=run.state.job.job_id,
                 item=run.item.item_id,
-                events=run.logged_parts.count,
+                events=run.checkpointed_text.count,
                 reason=str(error),
             )
             run.discard_text()
