--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -88,7 +88,7 @@
         f"{DAEMON}/jobs/item_loader.py",
         "pause = min(_MAX_PAUSE, 2 * pause)",
         "pass",
-        (UNREADABLE, "told_of_once"),
+        (UNREADABLE, "cannot_be_read_is_logged_once"),
     ),
     Guard(
         "no job is resumed before the replay's end",
@@ -217,7 +217,7 @@
         f"{DAEMON}/jobs/service.py",
         "if self._batch_delay() and self.is_store_reachable:",
         "if False:",
-        (FOLLOW, "listed_just_now"),
+        (FOLLOW, "without_the_batch_delay"),
     ),
     Guard(
         "a page of results has the texts that were read in time",
