--- a/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
@@ -148,7 +148,7 @@
     """
     from saddledoor.tracing import read_trace
 
-    from .record import SCENARIOS, VIOLATING_TRACES, write_violating_trace
+    from .record import SCENARIOS, TRACE_ALTERATIONS, write_altered_trace
     from .record import record as record_one
 
     for name in SCENARIOS:
@@ -157,9 +157,9 @@
         path = record_one(name, folder)
         click.echo(f"recorded {path}")
         events = read_trace(str(path), path.read_text().splitlines())
-        for promise, (source, _) in VIOLATING_TRACES.items():
+        for promise, (source, _) in TRACE_ALTERATIONS.items():
             if source == name:
-                click.echo(f"recorded {write_violating_trace(path, events, promise)}")
+                click.echo(f"recorded {write_altered_trace(path, events, promise)}")
 
 
 @main.command()
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/admission.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/admission.py
@@ -33,7 +33,7 @@
 _PARTNERS = ("a", "b", "c", "d")
 #: Capacity of the daemon's queue, in requests.
 _CAPACITY = 64
-#: Names of the baseline and of the daemon's queue.
+#: Names of the baseline and of the daemon's queue, indexed by `_Case.fair`.
 _QUEUE_NAMES = ("first come", "fair, bounded")
 #: Number of parallel runs.
 _WORKERS = 4
@@ -225,10 +225,10 @@
     ]
     rows = []
     for case, outcomes in _run_all(cases).items():
-        in_time = sum(s.in_time for s in outcomes.values()) / (
+        in_time = sum(o.in_time for o in outcomes.values()) / (
             capacity * _ARRIVAL_SECONDS
         )
-        refused = sorted(t for s in outcomes.values() for t in s.refusal_times)
+        refused = sorted(t for o in outcomes.values() for t in o.refusal_times)
         slowest = refused[int(len(refused) * 0.99)] * 1000 if refused else 0.0
         factor = sum(rate for _, rate in case.rates) / capacity
         rows.append((factor, _QUEUE_NAMES[case.fair], in_time, slowest))
@@ -273,5 +273,5 @@
 
 
 def _others_answered(outcomes: dict[str, _Outcomes]) -> float:
-    others = [s for partner, s in outcomes.items() if partner != _PARTNERS[0]]
-    return sum(s.in_time for s in others) / sum(s.requests for s in others)
+    others = [o for partner, o in outcomes.items() if partner != _PARTNERS[0]]
+    return sum(o.in_time for o in others) / sum(o.requests for o in others)
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/routing.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/routing.py
@@ -41,6 +41,7 @@
 #: Time during which requests arrive, in seconds.
 _ARRIVAL_SECONDS = 6.0
 
+#: The first three are the baselines, the last is the daemon's policy.
 POLICIES: dict[str, Callable[[random.Random], RoutingPolicy]] = {
     "random": lambda rng: uniform(rng.random),
     "round robin": lambda rng: round_robin(),
@@ -57,7 +58,7 @@
 
     :param policy: Name of the policy.
     :param load: Arriving work as a share of the engines' capacity.
-    :param lag: Interval of the load reports that nodes receive, in seconds.
+    :param lag: Interval and delay of the load reports that nodes receive, in seconds.
     :param slow: Factor by which one engine is slower.
     """
 
@@ -148,7 +149,7 @@
     """
     Run a case.
 
-    :returns: Median and 99th percentile of the time in the system, in seconds.
+    :returns: Median and 99th percentile of the latency, in seconds.
     """
     latencies = sorted(asyncio.run(_run(case)))
     return statistics.median(latencies), latencies[int(len(latencies) * 0.99)]
@@ -179,11 +180,11 @@
     keys = {(c.load, c.lag, c.slow, c.seed): None for c in results}
     rows = []
     for load, lag, slow, seed in keys:
-        own = [results[Case(p, load, lag, slow, seed)][1] for p in POLICIES]
-        best_baseline = min(own[:3])
+        percentiles = [results[Case(p, load, lag, slow, seed)][1] for p in POLICIES]
+        best_baseline = min(percentiles[:3])
         engine = "one 4x slower" if slow > 1 else "all alike"
-        ratio = own[-1] / best_baseline
-        rows.append((load, lag, engine, seed, *(p * 1000 for p in own), ratio))
+        ratio = percentiles[-1] / best_baseline
+        rows.append((load, lag, engine, seed, *(p * 1000 for p in percentiles), ratio))
     head = ("load", "lag s", "engines", "seed", *POLICIES, "ratio")
     title = "choice of engine: 99th percentile, ms; ratio to the best baseline"
     print_table(title, head, rows)
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -35,7 +35,7 @@
     validate,
 )
 
-from ..testbed import Shape, Testbed, digest
+from ..testbed import Shape, Testbed, token_digest
 from ._process import cpu_seconds, resident_mb
 from ._table import print_table
 
@@ -124,7 +124,7 @@
         "trainers": [
             {
                 "name": f"trainer-{n}",
-                "token_sha256": digest(f"trainer-{n}"),
+                "token_sha256": token_digest(f"trainer-{n}"),
                 "pool": "pool",
                 "model": f"model-{n}",
                 "staleness_bound": 2,
@@ -197,18 +197,18 @@
         for n in range(samples)
     ]
     tracemalloc.start()
-    book = StepDelivery.open(1, 1, specs)
-    missing = _milliseconds(lambda: book.missing)
+    delivery = StepDelivery.open(1, 1, specs)
+    missing = _milliseconds(lambda: delivery.missing)
     runs = (VersionRun(1, 0, tokens - 1),)
     for spec in specs:
         text = f"{spec.slot.group} " + "four" * tokens
-        book.add(Sample(spec.slot, text, tokens, runs))
+        delivery.add(Sample(spec.slot, text, tokens, runs))
     memory = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     began = time.perf_counter()
     cursor = 0
     for _ in range(samples // 256):
-        cursor = book.fetch(FetchRequest(1, cursor, 1, 256)).number
+        cursor = delivery.fetch(FetchRequest(1, cursor, 1, 256)).number
     fetch = (time.perf_counter() - began) * 1000 / (samples // 256)
     head = ("samples", "MB all ready", "ms to list missing", "ms per fetch of 256")
     row = (samples, memory, missing, fetch)
@@ -230,7 +230,7 @@
         vm = "dc-a-vm1"
         kinds: list[tuple[str, int, Callable[[int], object]]] = [
             ("look-up", count, lambda n: bed.look_up(vm)),
-            ("booking with a key", count, lambda n: bed.book(vm, f"r{n}", f"k{n}")),
+            ("booking with a key", count, lambda n: bed.delivery(vm, f"r{n}", f"k{n}")),
             ("40 tokens", count // 3, lambda n: bed.complete(vm, "p", 40)),
             ("400 tokens", count // 6, lambda n: bed.complete(vm, "p", 400)),
         ]
--- a/packages/saddledoor-standins/src/saddledoor_standins/demo_outcome.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/demo_outcome.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-The demo's description, measurements and verdict.
+The demo's setup, measurements and result.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 import yaml
 
-from .fleet import Vm, read_json
+from .fleet import Vm, request_json
 
 
 __all__ = [
     "CONFIG_LIMIT",
     "FIRST_VERSION",
     "Measurements",
-    "Site",
+    "DemoSetup",
     "is_clean",
-    "judge",
+    "summarize_outcome",
     "read_status",
     "runs_by_reference",
     "watch_weights",
@@ -31,14 +31,14 @@
 
 #: Weight version of all engines at the start.
 FIRST_VERSION = 1
-#: Time limit for a configuration to be in force on all VMs, in seconds.
+#: Time limit for a configuration to be active on all VMs, in seconds.
 CONFIG_LIMIT = 10.0
 #: Time limit for new weights to be active on all engines, in seconds.
 _WEIGHTS_LIMIT = 8.0
 
 
 @dataclass(frozen=True)
-class Site:
+class DemoSetup:
     """
     The deployment file of a demo and the file that describes its platform.
     """
@@ -48,7 +48,7 @@
     platform: dict
 
     @classmethod
-    def load(cls, path: Path) -> Site:
+    def load(cls, path: Path) -> DemoSetup:
         platform_path = path.with_suffix(".platform.yaml")
         return cls(
             path,
@@ -87,28 +87,31 @@
     """
     Measurements of the rollout of weights and configurations, and their shared state.
 
-    :ivar weights: Rollout time of each version on each engine, in seconds.
-    :ivar configs: Rollout time of each configuration, in seconds.
+    :ivar weight_rollout_times: Rollout time of each version on each engine, in seconds.
+    :ivar config_rollout_times: Rollout time of each configuration, in seconds.
     :ivar unavailable: Names of engines and VMs that are stopped.
     :ivar restarted_at: Wall-clock time at which each killed engine was started again.
     :ivar done: Set when the measurement ends.
     """
 
-    weights: list[float] = field(default_factory=list)
-    configs: list[float] = field(default_factory=list)
+    weight_rollout_times: list[float] = field(default_factory=list)
+    config_rollout_times: list[float] = field(default_factory=list)
     unavailable: set[str] = field(default_factory=set)
     restarted_at: dict[str, float] = field(default_factory=dict)
     done: threading.Event = field(default_factory=threading.Event)
 
 
 def read_status(vm: Vm) -> dict | None:
+    """
+    Return a VM's status, or None if it does not answer.
+    """
     try:
-        return read_json(f"http://{vm.http}/v1/status", timeout=2.0)
+        return request_json(f"http://{vm.http}/v1/status", timeout=2.0)
     except OSError:
         return None
 
 
-def watch_weights(site: Site, measurements: Measurements) -> None:
+def watch_weights(setup: DemoSetup, measurements: Measurements) -> None:
     """
     Measure the time from each publication of weights to its activation on each engine.
     """
@@ -116,13 +119,13 @@
     published: dict[tuple[str, int], float] = {}
     while not measurements.done.is_set():
         try:
-            answer = read_json(f"http://{site.platform['weights']}/v1/weights")
+            answer = request_json(f"http://{setup.platform['weights']}/v1/weights")
         except OSError:
             # The demo was interrupted and the weight store has stopped.
             return
         for model, version in answer["models"].items():
             published.setdefault((model, version), answer["published_at"][model])
-        for name, engine in site.engines.items():
+        for name, engine in setup.engines.items():
             versions = (
                 _versions(engine["address"])
                 if name not in measurements.unavailable
@@ -131,12 +134,14 @@
             for model, version in versions.items():
                 if version > FIRST_VERSION:
                     reached.setdefault((name, model, version), time.time())
-        measurements.weights = _rollout_times(site, measurements, published, reached)
+        measurements.weight_rollout_times = _rollout_times(
+            setup, measurements, published, reached
+        )
         time.sleep(0.05)
 
 
 def _rollout_times(
-    site: Site,
+    setup: DemoSetup,
     measurements: Measurements,
     published: dict[tuple[str, int], float],
     reached: dict[tuple[str, str, int], float],
@@ -145,7 +150,7 @@
     for (model, version), at in published.items():
         if version == FIRST_VERSION:
             continue
-        for name in site.engines:
+        for name in setup.engines:
             start = max(at, measurements.restarted_at.get(name, 0.0))
             seen = reached.get((name, model, version), time.time())
             times.append(max(0.0, seen - start))
@@ -154,22 +159,22 @@
 
 def _versions(address: str) -> dict[str, int]:
     try:
-        return read_json(f"http://{address}/v1/load", timeout=1.0)["versions"]
+        return request_json(f"http://{address}/v1/load", timeout=1.0)["versions"]
     except OSError:
         return {}
 
 
-def runs_by_reference(site: Site) -> dict[str, int]:
+def runs_by_reference(setup: DemoSetup) -> dict[str, int]:
     """
     Return the number of runs of each reference on unrepeatable routes.
     """
     runs: dict[str, int] = {}
-    for service in site.deployment["services"]:
+    for service in setup.deployment["services"]:
         paths = [r["path"] for r in service["routes"] if r.get("unrepeatable")]
         if not paths:
             continue
         for instance in service["instances"]:
-            ledger = read_json(f"http://{instance['address']}/fake", {})["runs"]
+            ledger = request_json(f"http://{instance['address']}/fake", {})["runs"]
             for name, count in ledger.items():
                 path, _, reference = name.partition(" ")
                 if path in paths:
@@ -177,7 +182,7 @@
     return runs
 
 
-def judge(
+def summarize_outcome(
     measurements: Measurements,
     trainers: Sequence[dict],
     guests: dict,
@@ -186,6 +191,14 @@
     stopped_at: float,
     status: int,
 ) -> dict:
+    """
+    Return the counts and times that the demo prints.
+
+    :param stopped: The VM that was stopped as planned.
+    :param stopped_at: Wall-clock time of its SIGTERM.
+    :param status: Exit status of its daemon.
+    """
+
     def total(name: str) -> int:
         return sum(result[name] for result in trainers)
 
@@ -208,15 +221,18 @@
         "samples_of_mixed_versions": total("samples_of_mixed_versions"),
         "inflight_cut_by_planned_stop": sum(1 for at in cut if at >= stopped_at),
         "planned_stop_status": status,
-        "config_in_force_s_max": round(max(measurements.configs), 2),
+        "config_in_force_s_max": round(max(measurements.config_rollout_times), 2),
         "engines_on_new_weights_s_max": round(
-            max(measurements.weights, default=0.0), 2
+            max(measurements.weight_rollout_times, default=0.0), 2
         ),
         "trainer_seconds_max": max(result["seconds"] for result in trainers),
     }
 
 
 def is_clean(result: dict) -> bool:
+    """
+    Return whether no promise was broken and no time limit exceeded.
+    """
     violations = (
         "not_run_but_ran",
         "unknown",
--- a/packages/saddledoor-standins/src/saddledoor_standins/engine.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/engine.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of a model engine: a batch of slots, weight versions, orders and faults.
+Stand-in of a model engine, with weight swaps and injected faults.
 
 The text of each token contains the weight version, the engine, the prompt's tag and the
 token's index, so that a receiver can check an answer by its text alone.
@@ -60,13 +60,23 @@
 
 def token_text(version: int, engine: str, tag: str, index: int) -> str:
     """
-    Return the text of one token.
+    Return the text of one token: version, engine, prompt tag and index, with colons.
     """
     return f"{version}:{engine}:{tag}:{index} "
 
 
 @dataclass
 class _Faults:
+    """
+    Injected faults.
+
+    :ivar cut_streams: Number of next streams that are cut halfway.
+    :ivar fail_activate: Number of next weight swaps that fail.
+    :ivar pretend_activate: Number of next swaps that are acknowledged but not made.
+    :ivar hide_version: Number of next events without a weight version.
+    :ivar slow: Factor of the time per token.
+    """
+
     cut_streams: int = 0
     fail_activate: int = 0
     pretend_activate: int = 0
@@ -247,6 +257,9 @@
         return web.json_response({"state": "done"})
 
     async def fake(self, request: web.Request) -> web.Response:
+        """
+        Inject faults and return what the engine has observed.
+        """
         body = await request.json()
         for name in vars(self.faults):
             if name in body:
--- a/packages/saddledoor-standins/src/saddledoor_standins/fleet.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/fleet.py
@@ -23,7 +23,14 @@
 import yaml
 
 
-__all__ = ["Fleet", "Process", "Vm", "daemon_settings", "read_json", "wait_listening"]
+__all__ = [
+    "Fleet",
+    "Process",
+    "Vm",
+    "daemon_settings",
+    "request_json",
+    "wait_listening",
+]
 
 #: Time limit for a process to exit after SIGTERM, in seconds.
 _EXIT_TIMEOUT = 15.0
@@ -48,7 +55,7 @@
         return f"{self.ip}:7002"
 
     @property
-    def listed(self) -> dict[str, str]:
+    def list_entry(self) -> dict[str, str]:
         """
         The VM's entry in the platform's list.
         """
@@ -88,7 +95,7 @@
 
 class Fleet:
     """
-    A set of processes that are stopped together when the context ends.
+    A set of processes that are killed together when the context ends.
     """
 
     def __init__(self) -> None:
@@ -100,20 +107,20 @@
     @contextlib.contextmanager
     def open(cls) -> Iterator[Fleet]:
         """
-        Yield a fleet and stop its processes afterwards, also on Ctrl-C.
+        Yield a fleet and kill its processes afterwards, also on Ctrl-C.
         """
         fleet = cls()
 
-        def stop(number: int, frame: object) -> None:
+        def interrupt(number: int, frame: object) -> None:
             raise KeyboardInterrupt
 
-        previous_handler = signal.signal(signal.SIGTERM, stop)
+        previous_handler = signal.signal(signal.SIGTERM, interrupt)
         try:
             yield fleet
         finally:
             # A second Ctrl-C must not leave processes behind.
             interrupt_handler = signal.signal(signal.SIGINT, signal.SIG_IGN)
-            fleet.end()
+            fleet.kill_all()
             signal.signal(signal.SIGINT, interrupt_handler)
             signal.signal(signal.SIGTERM, previous_handler)
 
@@ -128,7 +135,7 @@
                 stdout=options.pop("stdout", output),
                 stderr=output,
                 stdin=subprocess.DEVNULL,
-                # Only the launcher receives Ctrl-C; it then stops all processes.
+                # Only this process receives Ctrl-C; it then kills the others.
                 start_new_session=True,
                 env={**os.environ, "PYTHONUNBUFFERED": "1"},
             )
@@ -136,14 +143,14 @@
         self.processes[name] = process
         return process
 
-    def stand_in(self, name: str, kind: str, *arguments: str) -> Process:
+    def start_stand_in(self, name: str, kind: str, *arguments: str) -> Process:
         """
         Start a stand-in.
         """
         module = [sys.executable, "-m", "saddledoor_standins"]
         return self.start(name, [*module, kind, *arguments])
 
-    def daemon(self, name: str, settings: dict) -> Process:
+    def start_daemon(self, name: str, settings: dict) -> Process:
         """
         Start a daemon with these settings.
         """
@@ -152,7 +159,7 @@
         binary = str(Path(sys.executable).parent / "saddledoord")
         return self.start(name, [binary, "--settings", str(path)])
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """
         Kill all running processes and delete the folder.
         """
@@ -212,7 +219,7 @@
             time.sleep(0.03)
 
 
-def read_json(url: str, body: object = None, timeout: float = 5.0) -> dict:
+def request_json(url: str, body: object = None, timeout: float = 5.0) -> dict:
     """
     Send a request to a stand-in or a daemon and return its JSON answer.
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/forwarder.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/forwarder.py
@@ -108,6 +108,9 @@
             await forwarder.start()
 
     async def fake(request: web.Request) -> web.Response:
+        """
+        Set the mode of forwarders and return the modes of all.
+        """
         body = await request.json()
         for listen in body.get("listen") or forwarders:
             forwarders[listen].set_mode(body["mode"], float(body.get("delay", 0)))
--- a/packages/saddledoor-standins/src/saddledoor_standins/guests.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/guests.py
@@ -1,7 +1,8 @@
 # SPDX-License-Identifier: MIT
 
 """
-Stand-in of guests: sends look-ups, bookings and completions and checks the answers.
+Stand-in of guests, the end users of partners: sends look-ups, bookings and completions
+and checks the answers.
 """
 
 from __future__ import annotations
@@ -51,6 +52,15 @@
 
 @dataclass
 class _Tally:
+    """
+    Counted outcomes.
+
+    :ivar cut_by: Unix times of cut connections, by address of the VM.
+    :ivar lookup_ms: Latencies of answered look-ups, in milliseconds.
+    :ivar not_run_refs: References of calls that did not run.
+    :ivar answered_refs: References of answered bookings; empty texts for look-ups.
+    """
+
     requests: int = 0
     answered: int = 0
     not_run: int = 0
--- a/packages/saddledoor-standins/src/saddledoor_standins/log_service.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/log_service.py
@@ -35,9 +35,11 @@
     """
     All streams, and the injected failures.
 
+    :ivar streams: Streams by name.
     :ivar unreachable: Whether every connection is cut.
     :ivar lose_answers: Number of next appends that take effect and get no answer.
     :ivar refuse_appends: Number of next appends that are cut without taking effect.
+    :ivar appends: Number of appends that took effect.
     """
 
     def __init__(self) -> None:
@@ -89,22 +91,25 @@
             return cut(request)
         begin = max(start, stream.first) - stream.first
         page = stream.records[begin : begin + _PAGE_SIZE]
-        following = page[-1]["offset"] + 1 if page else max(start, stream.first)
-        following = min(following, stream.next_offset) if not page else following
+        next_offset = page[-1]["offset"] + 1 if page else max(start, stream.first)
+        next_offset = min(next_offset, stream.next_offset) if not page else next_offset
         return web.json_response(
-            {"first": stream.first, "next": following, "records": page}
+            {"first": stream.first, "next": next_offset, "records": page}
         )
 
     async def fake(self, request: web.Request) -> web.Response:
+        """
+        Inject failures and return the number of appends.
+        """
         body = await request.json()
         self.unreachable = bool(body.get("away", self.unreachable))
         self.lose_answers = int(body.get("lose_answers", self.lose_answers))
         self.refuse_appends = int(body.get("refuse_appends", self.refuse_appends))
         for name, offset in body.get("drop_before", {}).items():
             stream = self.stream(name)
-            kept = max(0, int(offset) - stream.first)
-            stream.records = stream.records[kept:]
-            stream.first += kept
+            dropped = max(0, int(offset) - stream.first)
+            stream.records = stream.records[dropped:]
+            stream.first += dropped
         async with self._appended:
             self._appended.notify_all()
         return web.json_response({"appends": self.appends})
--- a/packages/saddledoor-standins/src/saddledoor_standins/platform_services.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/platform_services.py
@@ -101,6 +101,7 @@
 
     async def change(request: web.Request) -> web.Response:
         body = await request.json()
+        # The first list is visible without a delay.
         at = 0.0 if len(history) == 1 else time.monotonic()
         history.append((at, body["vms"]))
         return web.json_response({})
--- a/packages/saddledoor-standins/src/saddledoor_standins/record.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/record.py
@@ -37,7 +37,7 @@
 from .trainer import TrainerPlan, run_trainer
 
 
-__all__ = ["SCENARIOS", "VIOLATING_TRACES", "record", "write_violating_trace"]
+__all__ = ["SCENARIOS", "TRACE_ALTERATIONS", "record", "write_altered_trace"]
 
 
 def record(name: str, folder: Path) -> Path:
@@ -49,23 +49,21 @@
     scenario, promises, counted = SCENARIOS[name]
     with Testbed.open(Shape(timings=SHORT_TIMINGS, traced=True)) as bed:
         scenario(bed)
-        events = bed.traced()
+        events = bed.read_traces()
     path = folder / f"{name}.jsonl"
     counts = Counter(traced.event.kind for traced in events)
     _write(path, events, promises, {kind: counts[kind] for kind in counted})
     return path
 
 
-def write_violating_trace(
-    source: Path, events: list[TracedEvent], promise: str
-) -> Path:
+def write_altered_trace(source: Path, events: list[TracedEvent], promise: str) -> Path:
     """
-    Write a variant of a trace that differs in one event and breaks a promise.
+    Write an altered copy of a trace, in which one event breaks a promise.
     """
     folder = source.parent / "broken"
     folder.mkdir(exist_ok=True)
     path = folder / f"{promise}.jsonl"
-    _write(path, VIOLATING_TRACES[promise][1](events), (promise,), {})
+    _write(path, TRACE_ALTERATIONS[promise][1](events), (promise,), {})
     return path
 
 
@@ -76,11 +74,14 @@
     counts: dict[str, int],
 ) -> None:
     path.write_text("".join(encode_traced(traced) + "\n" for traced in events))
-    stated = {"promises": list(promises), "counts": counts}
-    path.with_suffix(".outcomes.json").write_text(json.dumps(stated, indent=2) + "\n")
+    expected = {"promises": list(promises), "counts": counts}
+    path.with_suffix(".outcomes.json").write_text(json.dumps(expected, indent=2) + "\n")
 
 
 def _make_plan(bed: Testbed, **changes: object) -> TrainerPlan:
+    """
+    Return a trainer's plan for a recorded scenario.
+    """
     fields = {
         "vms": tuple(vm.http for vm in bed.vms.values()),
         "trainer": TRAINER,
@@ -142,10 +143,10 @@
         bed.book(names[0], fault, fault)
         for name in bed.instances:
             bed.fake(name, **{fault: 0})
-    bed.cut_log()
+    bed.set_log_link()
     for name in names:
         bed.book(name, "r3", "k3")
-    bed.cut_log(mode="pass")
+    bed.set_log_link(mode="pass")
     time.sleep(2.0)
     bed.book(names[2], "r3", "k3")
     bed.process(names[0]).signal(signal.SIGKILL)
@@ -160,17 +161,17 @@
     with ThreadPoolExecutor(2) as pool:
         results = list(pool.map(lambda f: bed.publish(f, bed.offset), files))
     offset = next(r["offset"] for r in results if r["state"] == "accepted")
-    until(lambda: bed.all_in_force(offset))
+    until(lambda: bed.is_active_everywhere(offset))
     bed.process("dc-a-vm1").signal(signal.SIGKILL)
     bed.process("dc-a-vm1").wait()
-    bed.cut_log("dc-b")
-    bed.cut_log("dc-a")
+    bed.set_log_link("dc-b")
+    bed.set_log_link("dc-a")
     bed.start_vm("dc-a-vm1")
-    until(lambda: bed.all_in_force(offset))
-    bed.cut_log("dc-a", mode="pass")
+    until(lambda: bed.is_active_everywhere(offset))
+    bed.set_log_link("dc-a", mode="pass")
     last = bed.publish(bed.deployment, offset)["offset"]
-    until(lambda: bed.all_in_force(last))
-    bed.cut_log("dc-b", mode="pass")
+    until(lambda: bed.is_active_everywhere(last))
+    bed.set_log_link("dc-b", mode="pass")
     time.sleep(1.0)
 
 
@@ -178,7 +179,7 @@
     """
     Let an engine report that it is leaving while no VM can reach the log.
     """
-    bed.cut_log()
+    bed.set_log_link()
     for vm in list(bed.vms) * 3:
         bed.complete(vm, "before")
     bed.fake("engine-1", leaving=True)
@@ -269,7 +270,7 @@
     return replace(event, asked=event.asked + 1)
 
 
-def _claim_not_run(traced: TracedEvent) -> TracedEvent:
+def _report_not_run(traced: TracedEvent) -> TracedEvent:
     request = traced.event.request_id.rpartition(".")[0]
     return replace(traced, event=CallEnded(request, 201))
 
@@ -297,7 +298,7 @@
 
 
 #: By promise: the scenario whose trace is changed, and the change that breaks it.
-VIOLATING_TRACES: dict[
+TRACE_ALTERATIONS: dict[
     str, tuple[str, Callable[[list[TracedEvent]], list[TracedEvent]]]
 ] = {
     "labels": (
@@ -310,7 +311,7 @@
     ),
     "not_run": (
         "claims-under-outage",
-        _insert_after(lambda e: isinstance(e, CallRan), _claim_not_run),
+        _insert_after(lambda e: isinstance(e, CallRan), _report_not_run),
     ),
     "exactly_once": (
         "swap-and-killed-collector",
--- a/packages/saddledoor-standins/src/saddledoor_standins/service.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/service.py
@@ -79,6 +79,9 @@
         )
 
     async def fake(self, request: web.Request) -> web.Response:
+        """
+        Inject faults and return the number of runs by path and reference.
+        """
         body = await request.json()
         for name in vars(self.faults):
             if name in body:
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed.py
@@ -24,7 +24,7 @@
 
 from saddledoor.tracing import TracedEvent, read_trace
 
-from .fleet import Fleet, Process, Vm, daemon_settings, read_json, wait_listening
+from .fleet import Fleet, Process, Vm, daemon_settings, request_json, wait_listening
 from .testbed_document import (
     MODEL,
     PARTNERS,
@@ -32,9 +32,9 @@
     SHORT_TIMINGS,
     TRAINER,
     Shape,
-    digest,
     make_deployment,
     make_vms,
+    token_digest,
 )
 
 
@@ -45,14 +45,14 @@
     "Answer",
     "Shape",
     "Testbed",
-    "digest",
+    "token_digest",
     "until",
 ]
 
 
 def until(condition: Callable[[], object], timeout: float = 15.0) -> object:
     """
-    Wait until a condition is true and return its value.
+    Wait until a condition is true and return its value; an OSError counts as not true.
 
     :param timeout: Time limit, in seconds.
     :raises TimeoutError: If it is not true in time.
@@ -97,6 +97,11 @@
 class Testbed:
     """
     A running deployment.
+
+    :ivar log: Address of the log service.
+    :ivar weights: Address of the weight store.
+    :ivar vm_list: Address of the list of VMs.
+    :ivar offset: Offset of the configuration that `open` published.
     """
 
     # Keeps pytest from collecting the class as a test.
@@ -105,7 +110,7 @@
     def __init__(self, fleet: Fleet, shape: Shape, network: str) -> None:
         self.fleet = fleet
         self.shape = shape
-        self._net = network
+        self._network = network
         self.log = f"{network}.5.1:9000"
         self.weights = f"{network}.5.2:9000"
         self.vm_list = f"{network}.5.3:9000"
@@ -129,7 +134,7 @@
                 bed.start_vm(vm.name, wait=False)
             wait_listening([vm.http for vm in bed.vms.values()])
             bed.offset = bed.publish(bed.deployment)["offset"]
-            until(lambda: bed.all_in_force(bed.offset))
+            until(lambda: bed.is_active_everywhere(bed.offset))
             yield bed
 
     @property
@@ -151,15 +156,15 @@
         settings = daemon_settings(
             vm,
             self.deployment["name"],
-            log_service=self._log_address(vm.data_centre),
+            log_service=self._log_forwarder_address(vm.data_centre),
             vm_list=self.vm_list,
             weight_store=self.weights,
             **self.shape.timings,
         )
-        settings["grpc_outside"] = self._outside_address(vm)
+        settings["grpc_outside"] = self._peer_forwarder_address(vm)
         if self.shape.traced:
             settings["trace"] = self.trace_path(name)
-        process = self.fleet.daemon(name, settings)
+        process = self.fleet.start_daemon(name, settings)
         if wait:
             wait_listening([vm.http])
         return process
@@ -170,7 +175,7 @@
         """
         return str(self.fleet.folder / f"{name}.trace")
 
-    def traced(self) -> list[TracedEvent]:
+    def read_traces(self) -> list[TracedEvent]:
         """
         Return the traced events of all processes in order of time.
         """
@@ -195,23 +200,23 @@
             "version": version,
         }
         arguments = ["--listen", engine["address"], "--options", json.dumps(options)]
-        self.fleet.stand_in(name, "engine", *arguments)
+        self.fleet.start_stand_in(name, "engine", *arguments)
         wait_listening([engine["address"]])
 
-    def cut_log(self, *data_centres: str, mode: str = "cut") -> None:
+    def set_log_link(self, *data_centres: str, mode: str = "cut") -> None:
         """
         Set the mode of the forwarders from data centres (default: all) to the log.
         """
         chosen = data_centres or tuple(self.shape.vms)
-        listen = [self._log_address(name) for name in chosen]
-        read_json(f"http://{self._control}/fake", {"mode": mode, "listen": listen})
+        listen = [self._log_forwarder_address(name) for name in chosen]
+        request_json(f"http://{self._control}/fake", {"mode": mode, "listen": listen})
 
-    def cut_data_centres(self, mode: str = "cut") -> None:
+    def set_data_centre_links(self, mode: str = "cut") -> None:
         """
         Set the mode of the forwarders between VMs of different data centres.
         """
-        listen = [self._outside_address(vm) for vm in self.vms.values()]
-        read_json(f"http://{self._control}/fake", {"mode": mode, "listen": listen})
+        listen = [self._peer_forwarder_address(vm) for vm in self.vms.values()]
+        request_json(f"http://{self._control}/fake", {"mode": mode, "listen": listen})
 
     def fake(self, name: str, **body: object) -> dict:
         """
@@ -220,18 +225,18 @@
         addresses = {"log": self.log, "weights": self.weights}
         addresses |= {n: e["address"] for n, e in self.engines.items()}
         addresses |= {n: i["address"] for n, i in self.instances.items()}
-        return read_json(f"http://{addresses[name]}/fake", body)
+        return request_json(f"http://{addresses[name]}/fake", body)
 
     def publish_weights(self, version: int) -> None:
         url = f"http://{self.weights}/v1/weights/{MODEL}"
-        read_json(url, {"version": version})
+        request_json(url, {"version": version})
 
     def load(self, engine: str) -> dict:
         """
         Return an engine's load report.
         """
         address = self.engines[engine]["address"]
-        return read_json(f"http://{address}/v1/load", timeout=1.0)
+        return request_json(f"http://{address}/v1/load", timeout=1.0)
 
     def engine_versions(self) -> dict[str, int]:
         """
@@ -255,11 +260,11 @@
         return total
 
     def status(self, vm: str) -> dict:
-        return read_json(f"http://{self.vms[vm].http}/v1/status", timeout=3.0)
+        return request_json(f"http://{self.vms[vm].http}/v1/status", timeout=3.0)
 
-    def all_in_force(self, offset: int) -> bool:
+    def is_active_everywhere(self, offset: int) -> bool:
         """
-        Return whether every running VM has this configuration or a later one in force.
+        Return whether this or a later configuration is active on every running VM.
         """
         running = [n for n in self.vms if self.process(n).running]
         return all(self.status(name)["config_offset"] >= offset for name in running)
@@ -275,7 +280,8 @@
 
     def publish(self, deployment: dict, base: int | None = None) -> dict:
         """
-        Publish a deployment with ``saddledoorctl`` and return its JSON output.
+        Publish a deployment with ``saddledoorctl`` and return its JSON output, with
+        the exit status as ``status``.
         """
         path = self.fleet.folder / f"deployment-{time.monotonic_ns()}.yaml"
         path.write_text(yaml.safe_dump(deployment))
@@ -346,18 +352,22 @@
         return self.ask(vm, "/v1/completions", body)
 
     def _start_platform(self) -> None:
-        self.fleet.stand_in("log", "log", "--listen", self.log)
-        self.fleet.stand_in("weights", "weights", "--listen", self.weights)
-        self.fleet.stand_in("vm-list", "vms", "--listen", self.vm_list, "--lag", "0.5")
-        routes = {self._log_address(dc): self.log for dc in self.shape.vms}
-        routes |= {self._outside_address(vm): vm.grpc for vm in self.vms.values()}
+        self.fleet.start_stand_in("log", "log", "--listen", self.log)
+        self.fleet.start_stand_in("weights", "weights", "--listen", self.weights)
+        self.fleet.start_stand_in(
+            "vm-list", "vms", "--listen", self.vm_list, "--lag", "0.5"
+        )
+        routes = {self._log_forwarder_address(dc): self.log for dc in self.shape.vms}
+        routes |= {
+            self._peer_forwarder_address(vm): vm.grpc for vm in self.vms.values()
+        }
         arguments = ["--listen", self._control, "--routes", json.dumps(routes)]
-        self.fleet.stand_in("forwarder", "forwarder", *arguments)
+        self.fleet.start_stand_in("forwarder", "forwarder", *arguments)
         for name, instance in self.instances.items():
             arguments = ["--listen", instance["address"], "--name", name]
             if self.shape.traced:
                 arguments += ["--trace", self.trace_path(name)]
-            self.fleet.stand_in(name, "service", *arguments)
+            self.fleet.start_stand_in(name, "service", *arguments)
         for name in self.engines:
             self.start_engine(name)
         wait_listening(
@@ -366,14 +376,14 @@
         )
         self.publish_weights(1)
         listed = [
-            vm.listed | {"grpc_outside": self._outside_address(vm)}
+            vm.list_entry | {"grpc_outside": self._peer_forwarder_address(vm)}
             for vm in self.vms.values()
         ]
-        read_json(f"http://{self.vm_list}/fake", {"vms": listed})
+        request_json(f"http://{self.vm_list}/fake", {"vms": listed})
 
-    def _log_address(self, data_centre: str) -> str:
+    def _log_forwarder_address(self, data_centre: str) -> str:
         number = list(self.shape.vms).index(data_centre) + 1
-        return f"{self._net}.6.{number + 1}:9000"
+        return f"{self._network}.6.{number + 1}:9000"
 
-    def _outside_address(self, vm: Vm) -> str:
+    def _peer_forwarder_address(self, vm: Vm) -> str:
         return f"{vm.ip}:7003"
--- a/packages/saddledoor-standins/src/saddledoor_standins/testbed_document.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/testbed_document.py
@@ -20,7 +20,7 @@
     "SERVICE",
     "TRAINER",
     "Shape",
-    "digest",
+    "token_digest",
     "make_deployment",
     "make_vms",
 ]
@@ -32,7 +32,7 @@
 PARTNERS = ("partner-a", "partner-b")
 
 
-def digest(token: str) -> str:
+def token_digest(token: str) -> str:
     """
     Return the digest of a token, as in a deployment file.
     """
@@ -60,6 +60,11 @@
     :param engines: Number of engines by data centre.
     :param services: Number of service instances by data centre.
     :param timings: Daemons' durations that differ from the defaults, in seconds.
+    :param limits: Limits that differ from the defaults.
+    :param token_s: Engines' time per token of one request, in seconds.
+    :param slots: Slots of each engine.
+    :param staleness_bound: The trainer's bound, in weight versions.
+    :param preference: The trainer's preference, ``idle`` or ``staleness``.
     :param traced: Whether daemons and services record traces.
     :param fenced: Whether engines refuse old fencing numbers.
     """
@@ -90,7 +95,7 @@
     return vms
 
 
-def _members(
+def _make_backends(
     shape: Shape, counts: Mapping[str, int], prefix: str, network: str
 ) -> list:
     names = [dc for dc, count in counts.items() for _ in range(count)]
@@ -109,7 +114,7 @@
     """
     Return the deployment document.
     """
-    engines = _members(shape, shape.engines, "engine", f"{network}.2")
+    engines = _make_backends(shape, shape.engines, "engine", f"{network}.2")
     for engine in engines:
         engine["fenced"] = shape.fenced
     return {
@@ -124,14 +129,16 @@
                     {"path": "/slots"},
                     {"path": "/book", "unrepeatable": True},
                 ],
-                "instances": _members(shape, shape.services, "desk", f"{network}.3"),
+                "instances": _make_backends(
+                    shape, shape.services, "desk", f"{network}.3"
+                ),
             }
         ],
-        "partners": [{"name": p, "token_sha256": digest(p)} for p in PARTNERS],
+        "partners": [{"name": p, "token_sha256": token_digest(p)} for p in PARTNERS],
         "trainers": [
             {
                 "name": TRAINER,
-                "token_sha256": digest(TRAINER),
+                "token_sha256": token_digest(TRAINER),
                 "pool": POOL,
                 "model": MODEL,
                 "staleness_bound": shape.staleness_bound,
--- a/packages/saddledoor-standins/src/saddledoor_standins/trainer.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/trainer.py
@@ -63,6 +63,13 @@
 class _StepState:
     """
     The trainer's record of a step, with counts of incorrect samples.
+
+    :ivar expected: Submitted samples by slot.
+    :ivar received: Received samples by slot.
+    :ivar wrong: Number of samples with a wrong or incomplete text.
+    :ivar mixed: Number of samples of several weight versions.
+    :ivar fetch_seconds: Time spent in fetches.
+    :ivar emit: Writes a trace event.
     """
 
     expected: dict[tuple[int, int], dict]
@@ -183,7 +190,7 @@
         return False
     data = json.loads(reply.body)
     if data["fence"] < state.fence:
-        # Ignores the answer of a collector that has been replaced.
+        # The collector that answered has been replaced.
         return False
     state.fence = data["fence"]
     state.cursor = data["cursor"]
@@ -250,14 +257,14 @@
 
 
 def _make_event(
-    plan: TrainerPlan, state: _StepState, sample: dict, requested: int
+    plan: TrainerPlan, state: _StepState, sample: dict, max_tokens: int
 ) -> SampleKept:
     token_versions = tuple(int(token.split(":")[0]) for token in sample["text"].split())
     return SampleKept(
         plan.trainer,
         plan.step,
         (sample["group"], sample["index"]),
-        requested,
+        max_tokens,
         token_versions,
         tuple(tuple(run) for run in sample["runs"]),
         state.version,
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -50,7 +50,7 @@
     done = bed.ctl("config", "publish", _write(bed, changed), *_log(bed), "--json")
     assert done.returncode == 0
     offset = json.loads(done.stdout)["offset"]
-    until(lambda: bed.all_in_force(offset))
+    until(lambda: bed.is_active_everywhere(offset))
     assert f"offset {offset}" in bed.ctl("config", "show", *_log(bed)).stdout
 
 
@@ -125,7 +125,7 @@
     ]
     base = bed.status("dc-a-vm1")["config_offset"]
     published = bed.publish({**bed.deployment, "objectives": objectives}, base)
-    until(lambda: bed.all_in_force(published["offset"]))
+    until(lambda: bed.is_active_everywhere(published["offset"]))
     assert bed.complete("dc-a-vm1", "p").code == 100
     bed.fake("desk-1", not_started=10)
     assert bed.look_up("dc-a-vm1").family == "not_run"
--- a/tests/test_failures_operations.py
+++ b/tests/test_failures_operations.py
@@ -13,7 +13,7 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from saddledoor_standins.fleet import read_json
+from saddledoor_standins.fleet import request_json
 from saddledoor_standins.testbed import until
 from testbed_helpers import (
     BackgroundTrainer,
@@ -42,7 +42,7 @@
     loser = next(r for r in results if r["state"] == "lost")
     assert loser["accepted"] == winner["offset"]
     assert "max_queue" in loser["difference"]
-    until(lambda: bed.all_in_force(winner["offset"]))
+    until(lambda: bed.is_active_everywhere(winner["offset"]))
 
 
 def test_a_vm_that_starts_without_the_log_learns_from_peers(bed, record_property):
@@ -52,17 +52,17 @@
     record_property("promise", "configuration")
     changed = {**bed.deployment, "limits": {"max_queue": 300}}
     offset = bed.publish(changed, bed.offset)["offset"]
-    until(lambda: bed.all_in_force(offset))
+    until(lambda: bed.is_active_everywhere(offset))
     victim = bed.process("dc-a-vm1")
     victim.signal(signal.SIGKILL)
     victim.wait()
-    bed.cut_log()
+    bed.set_log_link()
     bed.start_vm("dc-a-vm1")
     until(lambda: bed.status("dc-a-vm1")["config_offset"] == offset)
     share = answered_share(bed)
     record_property("repeatable_answered", share)
     assert share == 1.0
-    bed.cut_log(mode="pass")
+    bed.set_log_link(mode="pass")
     seen = [bed.status("dc-a-vm1")["config_offset"] for _ in range(20)]
     assert set(seen) == {offset}
 
@@ -72,11 +72,11 @@
     A change published during the partition reaches it through the other data centre.
     """
     record_property("promise", "configuration")
-    bed.cut_log("dc-b")
+    bed.set_log_link("dc-b")
     changed = {**bed.deployment, "limits": {"max_queue": 300}}
     offset = bed.publish(changed, bed.offset)["offset"]
     began = time.monotonic()
-    until(lambda: bed.all_in_force(offset))
+    until(lambda: bed.is_active_everywhere(offset))
     record_property("seconds", round(time.monotonic() - began, 2))
 
 
@@ -100,10 +100,10 @@
     record_property("promise", "configuration")
     for stream in ("config", "control", "claims-0"):
         url = f"http://{bed.log}/v1/streams/{stream}"
-        read_json(url, {"records": ["not json", '{"kind": "moon"}', ""]})
+        request_json(url, {"records": ["not json", '{"kind": "moon"}', ""]})
     changed = {**bed.deployment, "limits": {"max_queue": 300}}
     offset = bed.publish(changed, bed.offset)["offset"]
-    until(lambda: bed.all_in_force(offset))
+    until(lambda: bed.is_active_everywhere(offset))
     assert bed.book("dc-a-vm1", "r1", "k1").code == 100
     assert all(bed.process(name).running for name in bed.vms)
 
@@ -117,7 +117,7 @@
     proposal = (
         '{"kind": "config_proposal", "record_id": "x", "base": %d, "document": "?"}'
     )
-    read_json(url, {"records": [proposal % bed.offset]})
+    request_json(url, {"records": [proposal % bed.offset]})
     until(
         lambda: (
             "invalid"
@@ -132,7 +132,7 @@
     An engine reports that it is leaving while its data centre cannot reach the log.
     """
     record_property("promise", "leaving")
-    bed.cut_log("dc-a")
+    bed.set_log_link("dc-a")
     bed.fake("engine-1", leaving=True)
     began = time.monotonic()
 
@@ -167,7 +167,7 @@
             pool.map(lambda f: bed.publish(f, bed.offset), (marked, unmarked))
         )
     winner = next(r for r in results if r["state"] == "accepted")
-    until(lambda: bed.all_in_force(winner["offset"]))
+    until(lambda: bed.is_active_everywhere(winner["offset"]))
     before = len(bed.fake("engine-1")["started"])
     for vm in ("dc-a-vm1", "dc-a-vm2") * 3:
         assert bed.complete(vm, "p").code == 100
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -54,7 +54,7 @@
     owner.wait()
     assert bed.book("dc-b-vm2", "r1", "k1").code == 301
     bed.start_vm("dc-a-vm1")
-    until(lambda: bed.all_in_force(bed.offset))
+    until(lambda: bed.is_active_everywhere(bed.offset))
     assert bed.book("dc-a-vm1", "r1", "k1").code == 301
     assert bed.runs()["r1"] == 1
 
@@ -85,7 +85,7 @@
     """
     record_property("promise", "at_most_once")
     issued = bed.ask("dc-a-vm1", "/v1/keys").data["key"]
-    bed.cut_log()
+    bed.set_log_link()
     began = time.monotonic()
     refused = bed.book("dc-a-vm1", "r1", "k1")
     waited = time.monotonic() - began
@@ -97,7 +97,7 @@
         assert bed.book(name, "r2", issued).code == 100
     assert bed.runs() | {"x": 0} == {"r2": 1, "x": 0}
     assert share == 1.0
-    bed.cut_log(mode="pass")
+    bed.set_log_link(mode="pass")
     answer = until(lambda: (a := bed.book("dc-b-vm1", "r1", "k1")).code == 100 and a)
     assert answer.code == 100
     assert bed.runs()["r1"] == 1
@@ -121,7 +121,7 @@
     Each data centre continues to serve; a key sent to both sides runs once.
     """
     record_property("promise", "at_most_once")
-    bed.cut_data_centres()
+    bed.set_data_centre_links()
     share = answered_share(bed)
     record_property("repeatable_answered", share)
     first = bed.book("dc-a-vm1", "r1", "k1")
--- a/tests/test_failures_samples.py
+++ b/tests/test_failures_samples.py
@@ -12,7 +12,7 @@
 import signal
 import time
 
-from saddledoor_standins.fleet import read_json
+from saddledoor_standins.fleet import request_json
 from saddledoor_standins.testbed import MODEL, TRAINER, Shape, Testbed, until
 from testbed_helpers import (
     SHORT_TIMINGS,
@@ -57,7 +57,7 @@
         address = bed.engines["engine-1"]["address"]
         for action in ("stage", "activate"):
             order = {"fence": 0, "action": action, "model": MODEL, "version": 1}
-            read_json(f"http://{address}/v1/orders", order)
+            request_json(f"http://{address}/v1/orders", order)
         assert_step_correct(trainer.finish())
         until(lambda: bed.engine_versions()["engine-1"] == 2)
 
@@ -102,7 +102,7 @@
     trainer = BackgroundTrainer(make_plan(bed, tokens=50, publish_at=2.0))
     trainer.start()
     until(lambda: find_collector(bed))
-    bed.cut_log()
+    bed.set_log_link()
     share = answered_share(bed)
     record_property("repeatable_answered", share)
     result = trainer.finish()
