--- a/tests/guard_rows/crashes.py
+++ b/tests/guard_rows/crashes.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Guards of engines against requests that end them, and of the requests beside these.
+Guards against poison requests, and for the requests that run beside them.
 """
 
 from __future__ import annotations
--- a/tests/guard_rows/engines.py
+++ b/tests/guard_rows/engines.py
@@ -34,7 +34,7 @@
         (REQUESTS, "never_goes_back"),
     ),
     Guard(
-        "long texts are placed apart",
+        "long texts go to the fastest engines",
         f"{LIBRARY}/_item_placement.py",
         "long_key if is_long else short_key",
         "short_key",
@@ -48,7 +48,7 @@
         (PLACEMENT, "no_long_one_runs"),
     ),
     Guard(
-        "each move of a text needs a larger gain",
+        "each further move of a text needs a larger gain",
         f"{LIBRARY}/_item_placement.py",
         " * 2**moves",
         "",
--- a/tests/guard_rows/guard.py
+++ b/tests/guard_rows/guard.py
@@ -11,7 +11,7 @@
 
 __all__ = [
     "RETRIES",
-    "ATTEMPTS",
+    "ENGINE_RETRIES",
     "CLOCK",
     "DAEMON",
     "CRASHING",
@@ -27,41 +27,43 @@
     "LOG_FRESHNESS",
     "LIBRARY",
     "INCARNATIONS",
-    "PASS",
+    "PASS_THROUGH",
     "PLACEMENT",
     "POOL",
     "PROOFS",
     "REGISTRY",
     "REQUESTS",
-    "SHARES",
+    "WORK_SHARES",
     "PROCESS_PAUSES",
-    "STOPS",
+    "PLANNED_STOPS",
     "SEND_DEADLINE",
     "UNREADABLE",
     "USAGE",
-    "WATCH",
+    "STORE_WATCH",
     "WEIGHTS",
     "WORKSPACES",
 ]
 
+#: Source folders.
 LIBRARY = "packages/saddledoor/src/saddledoor"
 DAEMON = "packages/saddledoord/src/saddledoord"
+#: Test files.
 JOBS = "tests/adapter/test_edge_jobs.py"
 ITEMS = "tests/adapter/test_edge_items.py"
 WEIGHTS = "tests/adapter/test_edge_weights.py"
 REQUESTS = "tests/adapter/test_edge_requests.py"
 PROOFS = "tests/test_proofs.py"
 DECISIONS = "tests/test_gateway_decisions.py"
-PASS = "tests/test_pass_through.py"
+PASS_THROUGH = "tests/test_pass_through.py"
 RETRIES = "tests/adapter/test_edge_asks_again.py"
 SEND_DEADLINE = "tests/test_send_deadline.py"
 PROCESS_PAUSES = "tests/adapter/test_edge_process_pauses.py"
 UNREADABLE = "tests/test_unreadable_records.py"
 LOG_FRESHNESS = "tests/test_log_freshness.py"
-ATTEMPTS = "tests/test_asking_again.py"
+ENGINE_RETRIES = "tests/test_asking_again.py"
 POOL = "tests/test_pool.py"
-SHARES = "tests/test_work_shares.py"
-WATCH = "tests/test_store_watch.py"
+WORK_SHARES = "tests/test_work_shares.py"
+STORE_WATCH = "tests/test_store_watch.py"
 PLACEMENT = "tests/test_item_placement.py"
 REGISTRY = "tests/adapter/test_registry.py"
 FOLLOW = "tests/test_follow.py"
@@ -74,7 +76,7 @@
 DUTY = "tests/test_usage_duty.py"
 WORKSPACES = "tests/test_workspaces.py"
 CLOCK = "tests/test_clock.py"
-STOPS = "tests/adapter/test_edge_stops.py"
+PLANNED_STOPS = "tests/adapter/test_edge_stops.py"
 
 
 @dataclass(frozen=True)
--- a/tests/guard_rows/jobs.py
+++ b/tests/guard_rows/jobs.py
@@ -14,7 +14,7 @@
     JOBS,
     LIBRARY,
     LOG_FRESHNESS,
-    PASS,
+    PASS_THROUGH,
     PROCESS_PAUSES,
     PROOFS,
     SEND_DEADLINE,
@@ -27,7 +27,7 @@
 
 GUARDS = (
     Guard(
-        "items start only with a known log end",
+        "items start only with a fresh read of the log",
         f"{DAEMON}/jobs/runner.py",
         "return self._log_freshness.may_start(boot_time())",
         "return True",
@@ -41,18 +41,18 @@
         (PROCESS_PAUSES, "stood_still_sends_nothing"),
     ),
     Guard(
-        "a scoring call is made only with a known log end",
+        "a scoring call is made only with a fresh read of the log",
         f"{DAEMON}/jobs/runner.py",
         "lambda: self._log_freshness.may_score(boot_time()),",
         "lambda: True,",
         (PROCESS_PAUSES, "stood_still_sends_nothing"),
     ),
     Guard(
-        "a scoring call goes to no second engine without a known log end",
+        "a scoring call goes to no second engine without a fresh read of the log",
         f"{DAEMON}/serving/pass_through.py",
         "            attempts,\n            may_begin,\n",
         "            attempts,\n            _always_true,\n",
-        (PASS, "no_second_instance"),
+        (PASS_THROUGH, "no_second_instance"),
     ),
     Guard(
         "a request with an outdated decision is not sent",
@@ -119,21 +119,21 @@
         (PROOFS, "holds_with_its_mechanism and job_positions"),
     ),
     Guard(
-        "kept events go on in the chain where the others end",
+        "a checkpoint continues the chain of the one before",
         f"{LIBRARY}/_job_fold.py",
         "record.first == before.count + 1 and record.follows == before.chain",
         "record.first == before.count + 1",
         (PROOFS, "holds_with_its_mechanism and kept_texts"),
     ),
     Guard(
-        "no event of weights that are too old",
+        "an event of outdated weights is rejected",
         f"{LIBRARY}/_event_text.py",
         "event.version is None or event.version < oldest_version",
         "event.version is None",
         (PROOFS, "holds_with_its_mechanism and kept_texts"),
     ),
     Guard(
-        "a whole text takes the place of a shorter one only",
+        "a complete text replaces only a shorter one",
         f"{LIBRARY}/_job_fold.py",
         "record.first == 1 and record.count > before.count",
         "record.first == 1",
@@ -147,7 +147,7 @@
         ("tests/test_attempt.py", "short_text"),
     ),
     Guard(
-        "a text is written again in full if the log holds another run's",
+        "a text is rewritten in full if the log holds another run's checkpoint",
         f"{DAEMON}/jobs/item_run.py",
         '            self.persisted, self.persisted_chain = 0, ""\n',
         "            pass\n",
@@ -158,7 +158,7 @@
         f"{DAEMON}/jobs/scoring.py",
         "allowed = min(_MAX_INSTANCES, route.max_attempts - failures)",
         "allowed = _MAX_INSTANCES",
-        (PASS, "as_often_as"),
+        (PASS_THROUGH, "as_often_as"),
     ),
     Guard(
         "a failure that is appended twice counts once",
--- a/tests/guard_rows/keys.py
+++ b/tests/guard_rows/keys.py
@@ -12,7 +12,7 @@
     DUTY,
     KEYS,
     LIBRARY,
-    STOPS,
+    PLANNED_STOPS,
     USAGE,
     WORKSPACES,
     Guard,
@@ -122,11 +122,11 @@
         ("tests/test_usage.py", "taken_back"),
     ),
     Guard(
-        "an edge polls again after a process pause before it exits",
+        "a node polls again after a process pause before it exits",
         "platform/edge.py",
         "if boot_time() > started_at + _LAME_DUCK and on_time and not front.in_flight:",
         "if boot_time() > started_at + _LAME_DUCK and not front.in_flight:",
-        (STOPS, "stood_still"),
+        (PLANNED_STOPS, "stood_still"),
     ),
     Guard(
         "timers count the time of a suspension",
--- a/tests/guard_rows/nodes.py
+++ b/tests/guard_rows/nodes.py
@@ -6,7 +6,16 @@
 
 from __future__ import annotations
 
-from .guard import DAEMON, FOLLOW, LIBRARY, REQUESTS, SHARES, WATCH, WEIGHTS, Guard
+from .guard import (
+    DAEMON,
+    FOLLOW,
+    LIBRARY,
+    REQUESTS,
+    STORE_WATCH,
+    WEIGHTS,
+    WORK_SHARES,
+    Guard,
+)
 
 
 __all__ = ["GUARDS"]
@@ -17,10 +26,10 @@
         f"{DAEMON}/cluster/work_shares.py",
         "        self._stopped = True\n",
         "",
-        (SHARES, "no_share_again"),
+        (WORK_SHARES, "no_share_again"),
     ),
     Guard(
-        "another machine waits for the lease's term",
+        "another node waits for the lease's term",
         f"{DAEMON}/cluster/leases.py",
         "if node == self._node:",
         "if True:",
@@ -41,46 +50,46 @@
         (REQUESTS, "without_an_answer_of_the_store"),
     ),
     Guard(
-        "a share does not move for an outage of the store",
+        "an outage of the store moves no share",
         f"{DAEMON}/cluster/work_shares.py",
         "boot_time() - regained_at < _TERM",
         "False",
-        (SHARES, "while_the_store_is_away"),
+        (WORK_SHARES, "while_the_store_is_away"),
     ),
     Guard(
         "nobody claims a share while the store is away",
         f"{DAEMON}/cluster/work_shares.py",
         "not self._leases.is_store_reachable or ",
         "",
-        (SHARES, "nobody_claims"),
+        (WORK_SHARES, "nobody_claims"),
     ),
     Guard(
-        "a lease is renewed while its holder reads on",
+        "a lease is renewed while its holder reads the jobs",
         f"{DAEMON}/cluster/work_shares.py",
         "        if names:\n            self._renewed_at = now",
         "        if self._held:\n            self._renewed_at = now",
-        (SHARES, "reads_on"),
+        (WORK_SHARES, "reads_on"),
     ),
     Guard(
-        "a stronger node takes a share",
+        "a node with more cores takes a share",
         f"{DAEMON}/cluster/work_shares.py",
         "delay = self._delay + ",
         "delay = ",
-        (SHARES, "stronger"),
+        (WORK_SHARES, "stronger"),
     ),
     Guard(
         "a silent connection to the store is given up",
         f"{DAEMON}/cluster/store_watch.py",
         "call.task.cancel()",
         "pass",
-        (WATCH, "silent_connection"),
+        (STORE_WATCH, "silent_connection"),
     ),
     Guard(
         "a large page gets a longer timeout",
         f"{DAEMON}/cluster/store_watch.py",
         "wait_allowed = wait + max(0.0, answer_timeout - DEFAULT_ANSWER_TIMEOUT)",
         "wait_allowed = wait",
-        (WATCH, "large_page"),
+        (STORE_WATCH, "large_page"),
     ),
     Guard(
         "the page size shrinks after a failed read",
@@ -115,7 +124,7 @@
         f"{DAEMON}/cluster/work_shares.py",
         "        await self._on_acquired()\n",
         "",
-        (SHARES, "keeps_it"),
+        (WORK_SHARES, "keeps_it"),
     ),
     Guard(
         "a record that cannot be read hides nothing behind it",
--- a/tests/guard_rows/requests.py
+++ b/tests/guard_rows/requests.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 from .guard import (
-    ATTEMPTS,
     DAEMON,
+    ENGINE_RETRIES,
     ITEMS,
     LIBRARY,
-    PASS,
+    PASS_THROUGH,
     POOL,
     PROCESS_PAUSES,
     REQUESTS,
@@ -72,25 +72,25 @@
         (RETRIES, "goes_again"),
     ),
     Guard(
-        "a request does not return to where it broke off",
+        "a request does not return to an engine whose answer was interrupted",
         f"{LIBRARY}/_engine_attempts.py",
         "a.outcome in _RETRYABLE",
         "a.outcome is not AttemptOutcome.RUNNING",
-        (ATTEMPTS, "broke_off"),
+        (ENGINE_RETRIES, "broke_off"),
     ),
     Guard(
         "an unrepeatable request does not return to an engine",
         f"{LIBRARY}/_engine_attempts.py",
         "if not self._repeatable or not",
         "if not",
-        (ATTEMPTS, "unrepeatable"),
+        (ENGINE_RETRIES, "unrepeatable"),
     ),
     Guard(
         "a failing engine is retried by one request at a time",
         f"{DAEMON}/serving/pool.py",
         "self._load_of(engine).retry_at = boot_time() + _RETRY_INTERVAL",
         "pass",
-        (ATTEMPTS, "one_at_a_time"),
+        (ENGINE_RETRIES, "one_at_a_time"),
     ),
     Guard(
         "the time a request waited unread counts",
@@ -100,11 +100,11 @@
         (PROCESS_PAUSES, "hears_within_its_time"),
     ),
     Guard(
-        "a request that no engine ran does not wait",
+        "a request that every engine refused is answered at once",
         f"{DAEMON}/serving/pass_through.py",
         "if not is_pending and current.last is None:\n            return False",
         "if False:\n            return False",
-        (ATTEMPTS, "refused_at_once"),
+        (ENGINE_RETRIES, "refused_at_once"),
     ),
     Guard(
         "the engine's run is cancelled when the caller disconnects",
@@ -121,11 +121,11 @@
         (REQUESTS, "slow_engine"),
     ),
     Guard(
-        "a request still at an engine is not reported not run",
+        "a request that an engine may still run is not reported as not run",
         f"{DAEMON}/serving/pass_through.py",
         "if pending and current.last is None:",
         "if False:",
-        (PASS, "still_has"),
+        (PASS_THROUGH, "still_has"),
     ),
     Guard(
         "a success carries the engine's signature",
@@ -146,7 +146,7 @@
         f"{DAEMON}/serving/pool.py",
         "for e in fast or eligible or untried}",
         "for e in fast or eligible}",
-        (PASS, "rather_than_none"),
+        (PASS_THROUGH, "rather_than_none"),
     ),
     Guard(
         "each node has an order of engines of its own",
