--- a/tests/builders.py
+++ b/tests/builders.py
@@ -157,7 +157,7 @@
 
 def make_engine_entry(engine_id: str, **changes: object) -> EngineEntry:
     """
-    Return the directory entry of an instance of the service ``desk``.
+    Return the registry entry of an engine of the service ``desk``.
     """
     fields = {
         "service": "desk",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 @pytest.fixture
 def bed():
     """
-    Return a test bed of two data centres with two VMs, an engine and a service
+    Return a testbed of two data centres with two VMs, an engine and a service
     instance each.
     """
     with Testbed.open(Shape(timings=SHORT_TIMINGS)) as bed:
--- a/tests/crash_watches.py
+++ b/tests/crash_watches.py
@@ -19,16 +19,16 @@
 
 
 class _Engines:
-    def __init__(self, gone: bool) -> None:
-        self._gone = gone
+    def __init__(self, has_exited: bool) -> None:
+        self._has_exited = has_exited
 
     async def has_exited(self, engine) -> bool:
-        return self._gone
+        return self._has_exited
 
 
 class FakeControlLog:
     """
-    A control stream without leases, as `LeaseLog` and `SharedLog` provide it.
+    A fake of `LeaseLog` and `SharedLog` with only the control stream's crash records.
 
     :ivar last_read_at: Start of the newest read that has ended, monotonic, in seconds.
     :ivar unread: Records that the next read returns.
@@ -65,14 +65,17 @@
 
 
 def make_crash_watch(
-    view: ClusterView, control_log: FakeControlLog | None = None, gone: bool = False
+    view: ClusterView,
+    control_log: FakeControlLog | None = None,
+    has_exited: bool = False,
 ) -> EngineCrashWatch:
     """
     Return a crash watch.
 
-    :param gone: Whether checked engines are found to have crashed.
+    :param has_exited: Whether checked engines are found to have exited.
     """
     control_log = control_log or FakeControlLog()
+    # The fake is both the leases and the log.
     return EngineCrashWatch(
-        _Engines(gone), view.engine_tables, control_log, control_log
+        _Engines(has_exited), view.engine_tables, control_log, control_log
     )
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -25,10 +25,11 @@
 
 class FakeLog:
     """
-    Streams of records, with failures on demand.
+    Streams of records, with injected failures.
 
-    :ivar lose: Number of further appends that take effect but are not answered.
-    :ivar away: Whether reads and appends fail without an effect.
+    :param largest_record: Largest accepted record, in bytes.
+    :ivar lose_answers: Number of further appends that take effect but are not answered.
+    :ivar unreachable: Whether reads and appends fail without an effect.
     :ivar appends: All records of attempted appends.
     :ivar reads: Number of reads by stream.
     """
@@ -37,8 +38,8 @@
         self.records: defaultdict[str, list[bytes]] = defaultdict(list)
         self.reads: defaultdict[str, int] = defaultdict(int)
         self.appends: list[bytes] = []
-        self.lose = 0
-        self.away = False
+        self.lose_answers = 0
+        self.unreachable = False
         self._largest_record = largest_record
 
     async def append(
@@ -48,12 +49,12 @@
         assert all(len(record) <= self._largest_record for record in records)
         self.appends += records
         await asyncio.sleep(0)
-        if self.away:
+        if self.unreachable:
             return AppendOutcomeUnknown("away")
         offset = len(self.records[stream])
         self.records[stream] += records
-        if self.lose > 0:
-            self.lose -= 1
+        if self.lose_answers > 0:
+            self.lose_answers -= 1
             return AppendOutcomeUnknown("no answer")
         return Appended(offset)
 
@@ -69,7 +70,7 @@
         # A read waits for its whole time if there is no record, whatever is appended.
         end = len(self.records[stream])
         await asyncio.sleep(wait if start >= end else 0)
-        if self.away:
+        if self.unreachable:
             raise StoreUnavailableError("away")
         chosen: list[bytes] = []
         for record in self.records[stream][start:]:
--- a/tests/function_engines.py
+++ b/tests/function_engines.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Builders of a `PassThrough` whose engines answer by a function.
+Builders of a `PassThrough` whose engines' answers a function computes.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 class FunctionEngines:
     """
-    Engines that answer by a function.
+    Engines whose answers a function computes.
 
     :param answer: Returns the outcome of a call.
     :ivar called: Ids of the engines that were called, in order.
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -20,13 +20,13 @@
 from guard_rows import GUARDS, Guard
 
 
-__all__ = ["is_noticed", "scratch_copy"]
+__all__ = ["fails_without", "scratch_copy"]
 
 _ROOT = Path(__file__).parent.parent
 _PACKAGES = ("saddledoor", "saddledoord", "saddledoorctl", "saddledoor-standins")
 
 
-def is_noticed(guard: Guard) -> bool:
+def fails_without(guard: Guard) -> bool:
     """
     Return whether the guard's test fails without the guard.
 
@@ -86,9 +86,9 @@
     for guard in GUARDS:
         if words and not any(word in guard.name for word in words):
             continue
-        noticed = is_noticed(guard)
-        good = good and noticed
-        print(f"{guard.name:<50} {'red' if noticed else 'NOT NOTICED'}", flush=True)
+        has_failed = fails_without(guard)
+        good = good and has_failed
+        print(f"{guard.name:<50} {'red' if has_failed else 'NOT NOTICED'}", flush=True)
     return 0 if good else 1
 
 
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -1,7 +1,9 @@
 # SPDX-License-Identifier: MIT
 
 """
-Compares two checkouts on the same days and seeds, and prints a table for a page.
+Compares two checkouts on the same simulated days and seeds, and prints a table.
+
+A day is a scenario of the bench program, a site one of its deployments.
 
 ``python tests/pairs.py --bench PROGRAM --before DIR --after DIR --site FILE ...``: the
 program is started in each checkout, runs a day of a deployment and writes a report. It
@@ -23,7 +25,7 @@
 import click
 
 
-__all__ = ["Pair", "Play", "Summary", "render", "summarise"]
+__all__ = ["Pair", "DayResult", "Summary", "render", "summarise"]
 
 #: Half the width of a mean's 95 % confidence interval, in standard errors, by number of
 #: pairs (Student's t).
@@ -32,15 +34,15 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class DayResult:
     """
     The result of one checkout for one day.
 
-    :param worth: The report's score ``G``.
+    :param score: The report's score ``G``.
     :param broken: Number of broken rules.
     """
 
-    worth: float
+    score: float
     broken: int = 0
 
 
@@ -53,12 +55,12 @@
     site: str
     day: str
     seed: int
-    before: Play
-    after: Play
+    before: DayResult
+    after: DayResult
 
     @property
     def gain(self) -> float:
-        return self.after.worth - self.before.worth
+        return self.after.score - self.before.score
 
 
 @dataclass(frozen=True)
@@ -88,7 +90,7 @@
     """
     found = list(pairs)
     if not found:
-        raise ValueError("no pair was played")
+        raise ValueError("no pair to summarise")
     gains = [pair.gain for pair in found]
     interval = math.inf
     if len(found) > 1:
@@ -97,8 +99,8 @@
         )
         interval = quantile * statistics.stdev(gains) / math.sqrt(len(found))
     return Summary(
-        statistics.fmean(pair.before.worth for pair in found),
-        statistics.fmean(pair.after.worth for pair in found),
+        statistics.fmean(pair.before.score for pair in found),
+        statistics.fmean(pair.after.score for pair in found),
         statistics.fmean(gains),
         interval,
         sum(gain > 0 for gain in gains),
@@ -128,13 +130,15 @@
     return "\n".join(lines)
 
 
-def _format_result(play: Play) -> str:
-    return f"{play.worth:.3f}" + (f", {play.broken} broken" if play.broken else "")
+def _format_result(result: DayResult) -> str:
+    return f"{result.score:.3f}" + (
+        f", {result.broken} broken" if result.broken else ""
+    )
 
 
-async def _play(
+async def _run_day(
     bench: Path, checkout: Path, site: Path, day: str, seed: int, why: str
-) -> Play:
+) -> DayResult:
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         process = await asyncio.create_subprocess_exec(
@@ -150,31 +154,31 @@
                 f"{checkout}: {site.stem} {day} {seed}: no report"
             )
         table = json.loads(report.read_text())
-    return Play(float(table["G"]), sum(table["breaks"].values()))
+    return DayResult(float(table["G"]), sum(table["breaks"].values()))
 
 
 async def _pairs(
     bench: Path,
     checkouts: tuple[Path, Path],
-    plays: list[tuple[Path, str, int]],
+    runs: list[tuple[Path, str, int]],
     jobs: int,
     why: str,
 ) -> list[Pair]:
-    slots = asyncio.Semaphore(jobs)
+    limit = asyncio.Semaphore(jobs)
 
-    async def play(checkout: Path, site: Path, day: str, seed: int) -> Play:
-        async with slots:
-            return await _play(bench, checkout, site, day, seed, why)
+    async def run_day(checkout: Path, site: Path, day: str, seed: int) -> DayResult:
+        async with limit:
+            return await _run_day(bench, checkout, site, day, seed, why)
 
     async def pair(site: Path, day: str, seed: int) -> Pair:
         before, after = await asyncio.gather(
-            *(play(checkout, site, day, seed) for checkout in checkouts)
+            *(run_day(checkout, site, day, seed) for checkout in checkouts)
         )
         made = Pair(site.stem, day, seed, before, after)
         click.echo(f"{made.site} {day} {seed}: {made.gain:+.3f}", err=True)
         return made
 
-    return await asyncio.gather(*(pair(*play) for play in plays))
+    return await asyncio.gather(*(pair(*run) for run in runs))
 
 
 @click.command()
@@ -190,14 +194,14 @@
     """
     Play all pairs and print their table.
     """
-    plays = [
+    runs = [
         (site.resolve(), day, int(seed))
         for site in sites
         for day in days.split(",")
         for seed in seeds.split(",")
     ]
     checkouts = (before.resolve(), after.resolve())
-    pairs = asyncio.run(_pairs(bench.resolve(), checkouts, plays, jobs, why))
+    pairs = asyncio.run(_pairs(bench.resolve(), checkouts, runs, jobs, why))
     click.echo(render(pairs))
 
 
--- a/tests/test_asking_again.py
+++ b/tests/test_asking_again.py
@@ -33,27 +33,33 @@
 _REFUSED = NotRun(ResultCode.NO_BACKEND, "the engine refused")
 _UNUSABLE = UnusableAnswer(ResultCode.OUTCOME_UNKNOWN, "the answer of another request")
 _BROKEN = OutcomeUnknown(ResultCode.OUTCOME_UNKNOWN, "broken off")
-_ENDED = [AttemptOutcome.NOT_RUN, AttemptOutcome.UNUSABLE, AttemptOutcome.FAILED]
+_RETRYABLE_OUTCOMES = [
+    AttemptOutcome.NOT_RUN,
+    AttemptOutcome.UNUSABLE,
+    AttemptOutcome.FAILED,
+]
 
 
-def _attempts(*ends: tuple[Incarnation, AttemptOutcome], **changes) -> EngineAttempts:
+def _attempts(
+    *outcomes: tuple[Incarnation, AttemptOutcome], **changes
+) -> EngineAttempts:
     """
     Return attempts that ended at 10.0, except those that still run.
     """
     attempts = EngineAttempts(**({"max_attempts": 3, "repeatable": True} | changes))
-    for engine, end in ends:
+    for engine, outcome in outcomes:
         attempt = attempts.begin(engine)
-        if end is not AttemptOutcome.RUNNING:
-            attempt.finish(end, 10.0)
+        if outcome is not AttemptOutcome.RUNNING:
+            attempt.finish(outcome, 10.0)
     return attempts
 
 
-@pytest.mark.parametrize("end", _ENDED)
-def test_a_request_may_be_retried_at_an_engine_that_finished_it(end):
+@pytest.mark.parametrize("outcome", _RETRYABLE_OUTCOMES)
+def test_a_request_may_be_retried_at_an_engine_that_finished_it(outcome):
     """
-    After a backoff, also while another engine runs the request.
+    The retry follows a backoff, and need not wait for another engine's run.
     """
-    attempts = _attempts((_A, end), (_B, AttemptOutcome.RUNNING))
+    attempts = _attempts((_A, outcome), (_B, AttemptOutcome.RUNNING))
     assert list(attempts.earliest_retry_times()) == [_A]
     assert attempts.earliest_retry_times()[_A] > 10.0
 
@@ -67,12 +73,12 @@
     assert twice.earliest_retry_times() == {}
 
 
-@pytest.mark.parametrize("end", _ENDED)
-def test_an_unrepeatable_request_returns_nowhere(end):
+@pytest.mark.parametrize("outcome", _RETRYABLE_OUTCOMES)
+def test_an_unrepeatable_request_returns_nowhere(outcome):
     """
     Not even if the engine did not run it.
     """
-    assert _attempts((_A, end), repeatable=False).earliest_retry_times() == {}
+    assert _attempts((_A, outcome), repeatable=False).earliest_retry_times() == {}
 
 
 def test_the_backoff_doubles_with_each_attempt_at_the_engine():
@@ -97,7 +103,7 @@
     """
     attempts = EngineAttempts(most, True)
     spent = Counter()
-    for end, number in choices:
+    for outcome, number in choices:
         returns = list(attempts.earliest_retry_times())
         if attempts.may_try_another_engine():
             engine = Incarnation(f"desk-{len(attempts.engines)}")
@@ -106,12 +112,12 @@
         else:
             break
         attempt = attempts.begin(engine)
-        if end is not AttemptOutcome.RUNNING:
-            attempt.finish(end, 10.0)
-        spent[end] += 1
+        if outcome is not AttemptOutcome.RUNNING:
+            attempt.finish(outcome, 10.0)
+        spent[outcome] += 1
     assert len(attempts.engines) <= most
     used_up = (AttemptOutcome.RUNNING, AttemptOutcome.FAILED, AttemptOutcome.BROKEN)
-    assert sum(spent[end] for end in used_up) <= most
+    assert sum(spent[outcome] for outcome in used_up) <= most
 
 
 def _serve(answer, count: int = 1, caller_timeout: float = 2.0, **route):
@@ -178,7 +184,7 @@
 
 def test_an_engine_that_stays_sick_is_tried_again_by_one_at_a_time():
     """
-    After 20 requests have failed at the same time, and the other engine is slow.
+    Twenty requests have failed there at the same time, and the other engine is slow.
     """
 
     async def answer(engine, request):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -24,7 +24,7 @@
 @pytest.fixture(scope="module")
 def bed():
     """
-    Return a test bed of one data centre with one VM.
+    Return a testbed of one data centre with one VM.
     """
     shape = Shape(
         vms={"dc-a": 1},
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -72,7 +72,7 @@
     assert run_by_boot_time(_delay_of_timeout(vm, 2.0, suspended)) < 0.4
 
 
-def test_a_limit_goes_on_where_a_short_suspension_left_it(vm):
+def test_a_short_suspension_counts_towards_a_limit(vm):
     """
     The suspension counts as passed time.
     """
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(
     "program", ["platform/edge.py", "packages/saddledoord/src/saddledoord/_cli.py"]
 )
-def test_both_daemons_run_by_it(program, request):
+def test_daemon_and_gateway_use_the_boot_time_loop(program, request):
     """
     A daemon on the default loop would ignore suspensions.
     """
--- a/tests/test_failures_samples.py
+++ b/tests/test_failures_samples.py
@@ -78,7 +78,7 @@
     assert result["submits"] > 1
 
 
-def test_a_paused_collector_is_detected(bed, record_property):
+def test_a_paused_collector_corrupts_no_step(bed, record_property):
     """
     The collector is paused beyond its lease, and resumes beside its successor.
     """
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -100,7 +100,7 @@
 
 def test_entries_that_change_all_the_time_are_gathered():
     """
-    Not every renewal of an entry costs a read.
+    Changes of the registry are read in batches.
     """
     registry = _Registry()
 
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -108,7 +108,7 @@
 )
 def test_records_survive_their_bytes(record):
     """
-    Every record type with all fields.
+    Records of every type, with all fields, decode to themselves.
     """
     assert decode_job_record(encode_job_record(record)) == record
 
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\x91\xa1z", b"\x92\xa1r\xa1j"])
 def test_bytes_that_are_no_record_are_refused(data):
     """
-    With an error of the library's own.
+    Decoding raises an error of the library.
     """
     with pytest.raises(UndecodableRecordError):
         decode_job_record(data)
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\x91\xa1z", b"\x91\x92\xa1r\xa1j"])
 def test_bytes_that_are_no_items_are_refused(data):
     """
-    With an error of the library's own.
+    Decoding raises an error of the library.
     """
     with pytest.raises(UndecodableRecordError):
         decode_job_items(data)
@@ -287,7 +287,7 @@
 
 def test_every_engine_follows_where_there_are_one_or_two_models():
     """
-    Also if there are few engines.
+    This also holds for few engines.
     """
     assert _followed(["a", "b", "c"], ("m",), "m") == ["a", "b", "c"]
     assert _followed(["a", "b", "c"], ("m", "n"), "n") == ["a", "b", "c"]
@@ -310,8 +310,8 @@
 
 
 def _checkpoint(first: int, count: int, follows: str, chain: str) -> ItemCheckpoint:
-    place = StoredText((first, count), 1)
-    return ItemCheckpoint("job-a", "item-0", first, count, follows, chain, (1,), place)
+    stored = StoredText((first, count), 1)
+    return ItemCheckpoint("job-a", "item-0", first, count, follows, chain, (1,), stored)
 
 
 def test_a_whole_text_takes_the_place_of_a_shorter_one_of_another_run():
--- a/tests/test_item_placement.py
+++ b/tests/test_item_placement.py
@@ -17,68 +17,68 @@
 
 
 def _chosen(
-    seats: list[PlacementCandidate], is_long: bool, best: float | None = 0.040
+    candidates: list[PlacementCandidate], is_long: bool, best_gap: float | None = 0.040
 ) -> str:
-    seat = choose_placement(seats, best, is_long)
-    assert seat is not None
-    return seat.name
+    chosen = choose_placement(candidates, best_gap, is_long)
+    assert chosen is not None
+    return chosen.name
 
 
 def test_a_long_text_goes_to_the_fastest_engine():
     """
     A step ends with its longest text.
     """
-    seats = [
+    candidates = [
         PlacementCandidate("slow", 0, 0, 0.052),
         PlacementCandidate("fast", 9, 3, 0.040),
     ]
-    assert _chosen(seats, is_long=True) == "fast"
+    assert _chosen(candidates, is_long=True) == "fast"
 
 
 def test_a_long_text_goes_apart_from_others_where_engines_are_alike():
     """
     Among equally fast engines, the one with fewer long texts is chosen.
     """
-    seats = [
+    candidates = [
         PlacementCandidate("with-long", 3, 2, 0.0400),
         PlacementCandidate("without", 5, 0, 0.0403),
     ]
-    assert _chosen(seats, is_long=True) == "without"
+    assert _chosen(candidates, is_long=True) == "without"
 
 
 def test_a_short_text_goes_where_no_long_one_runs():
     """
-    Also to a somewhat slower engine, since a short text does not delay its step.
+    A somewhat slower engine is chosen too, since a short text does not delay its step.
     """
-    seats = [
+    candidates = [
         PlacementCandidate("fast", 3, 2, 0.040),
         PlacementCandidate("slower", 9, 0, 0.052),
     ]
-    assert _chosen(seats, is_long=False) == "slower"
+    assert _chosen(candidates, is_long=False) == "slower"
 
 
 def test_a_short_text_goes_to_no_engine_that_is_slow():
     """
     There, it could become the text that ends last.
     """
-    seats = [
+    candidates = [
         PlacementCandidate("fast", 11, 5, 0.040),
         PlacementCandidate("slow", 0, 0, 0.150),
     ]
-    assert _chosen(seats, is_long=False) == "fast"
+    assert _chosen(candidates, is_long=False) == "fast"
 
 
 def test_an_engine_of_unknown_speed_is_tried():
     """
     Otherwise an engine once found slow would never be measured again.
     """
-    seats = [
+    candidates = [
         PlacementCandidate("known", 2, 0, 0.050),
         PlacementCandidate("unknown", 0, 0, None),
     ]
-    assert _chosen(seats, is_long=True) == "unknown"
+    assert _chosen(candidates, is_long=True) == "unknown"
     assert choose_placement([], None, True) is None
-    assert _chosen(seats, is_long=True, best=None) == "unknown"
+    assert _chosen(candidates, is_long=True, best_gap=None) == "unknown"
 
 
 def test_a_text_moves_only_for_what_it_gains():
--- a/tests/test_item_run.py
+++ b/tests/test_item_run.py
@@ -50,8 +50,10 @@
 
 
 def _record_checkpoint(run: ItemRun, record: ItemCheckpoint) -> None:
-    kept = CheckpointedText(record.count, record.versions, record.chain, (record.text,))
-    run.state.kept[run.item.item_id] = kept
+    checkpoint = CheckpointedText(
+        record.count, record.versions, record.chain, (record.text,)
+    )
+    run.state.kept[run.item.item_id] = checkpoint
 
 
 def test_only_new_events_are_written_while_the_log_holds_those_of_this_run():
--- a/tests/test_job_items.py
+++ b/tests/test_job_items.py
@@ -139,13 +139,13 @@
             loader = ItemLoader(other, tried.set)
             await other.sync()
             (state,) = other.open_jobs()
-            log.away = True
+            log.unreachable = True
             for _ in range(3):
                 loader.request_items(state)
             await asyncio.wait_for(tried.wait(), 2.0)
             assert state.items is None
             assert log.reads["texts"] == 1
-            log.away = False
+            log.unreachable = False
             tried.clear()
             loader.request_items(state)
             await asyncio.wait_for(tried.wait(), 2.0)
--- a/tests/test_log_freshness.py
+++ b/tests/test_log_freshness.py
@@ -16,14 +16,16 @@
 _NEVER = float("-inf")
 
 
-def _make_freshness(age: float, reached: bool = True, resumed_for: float | None = None):
-    resumed_at = _NEVER if resumed_for is None else _NOW - resumed_for
-    view = LogReadState(_NOW - age, reached, resumed_at)
-    return LogFreshness(lambda: view, cancel_limit=3.0)
+def _make_freshness(
+    age: float, is_store_reachable: bool = True, resumed_ago: float | None = None
+):
+    resumed_at = _NEVER if resumed_ago is None else _NOW - resumed_ago
+    read_state = LogReadState(_NOW - age, is_store_reachable, resumed_at)
+    return LogFreshness(lambda: read_state, cancel_limit=3.0)
 
 
 @pytest.mark.parametrize(
-    ("age", "reached", "may_start", "may_score"),
+    ("age", "is_store_reachable", "may_start", "may_score"),
     [
         (1.9, True, True, True),
         (2.1, True, False, False),
@@ -32,27 +34,31 @@
     ],
 )
 def test_work_is_sent_while_the_read_of_the_log_is_fresh(
-    age, reached, may_start, may_score
+    age, is_store_reachable, may_start, may_score
 ):
     """
     The limit is longer while the store is unreachable, since no job can end then.
     """
-    freshness = _make_freshness(age, reached)
+    freshness = _make_freshness(age, is_store_reachable)
     assert (freshness.may_start(_NOW), freshness.may_score(_NOW)) == (
         may_start,
         may_score,
     )
 
 
-@pytest.mark.parametrize("reached", [True, False])
-def test_a_read_before_a_process_pause_is_not_fresh(reached):
+@pytest.mark.parametrize("is_store_reachable", [True, False])
+def test_a_read_before_a_process_pause_is_not_fresh(is_store_reachable):
     """
     Another node may have ended a job during the process pause.
     """
-    freshness = _make_freshness(age=0.7, reached=reached, resumed_for=0.1)
+    freshness = _make_freshness(
+        age=0.7, is_store_reachable=is_store_reachable, resumed_ago=0.1
+    )
     assert not freshness.may_start(_NOW)
     assert not freshness.may_score(_NOW)
-    assert _make_freshness(age=0.7, reached=reached, resumed_for=0.8).may_start(_NOW)
+    assert _make_freshness(
+        age=0.7, is_store_reachable=is_store_reachable, resumed_ago=0.8
+    ).may_start(_NOW)
 
 
 class _Clock:
--- a/tests/test_page_size.py
+++ b/tests/test_page_size.py
@@ -28,7 +28,7 @@
     readers: int, backlog: int, page_size: PageSize
 ) -> float | None:
     """
-    Return when readers in lockstep have read their backlog; none after a minute.
+    Return when readers in lockstep have read their backlog, or None after a minute.
 
     Pages that arrive after the timeout use up bandwidth nevertheless.
     """
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -9,12 +9,14 @@
 import math
 
 import pytest
-from pairs import Pair, Play, render, summarise
+from pairs import DayResult, Pair, render, summarise
 
 
 def _pair(before: float, after: float, **changes: object) -> Pair:
     fields = {"site": "a", "day": "quiet-1", "seed": 1}
-    return Pair(**{**fields, **changes}, before=Play(before), after=Play(after))
+    return Pair(
+        **{**fields, **changes}, before=DayResult(before), after=DayResult(after)
+    )
 
 
 def test_pairs_are_summarised_by_their_mean_gain_and_its_interval():
@@ -46,7 +48,7 @@
     """
     The number of broken rules is shown beside the score that they invalidate.
     """
-    broken = Pair("b", "trouble-1", 2, Play(0.5), Play(0.7, 3))
+    broken = Pair("b", "trouble-1", 2, DayResult(0.5), DayResult(0.7, 3))
     lines = render([_pair(0.8, 0.9), _pair(0.8, 0.7, seed=2), broken]).splitlines()
     assert "| a | quiet-1, 2 | 0.800 | 0.700 | -0.100 |" in lines
     assert "| b | trouble-1, 2 | 0.500 | 0.700, 3 broken | +0.200 |" in lines
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -51,19 +51,21 @@
         self.silent: set[Incarnation] = set()
         self.placement = Placement(self.view, pool, self.paces, self.silent)
         self._oldest = oldest
-        self.run = self.item()
+        self.run = self.make_item_run()
 
-    def item(self, expected_tokens: int = 2000, first_seen_at: float = 0.0) -> ItemRun:
+    def make_item_run(
+        self, expected_tokens: int = 2000, first_seen_at: float = 0.0
+    ) -> ItemRun:
         job = replace(make_job(1), oldest_version=self._oldest)
         item = replace(job.items[0], expected_tokens=expected_tokens)
         return ItemRun.create(make_job_state(job, first_seen_at), item)
 
-    def pace(self, engine_id: str, gap: float) -> None:
+    def set_gap(self, engine_id: str, gap: float) -> None:
         self.paces.observe(Incarnation(engine_id), gap, boot_time())
 
-    def chosen(self, *exclude: str) -> str | None:
-        left_out = {Incarnation(name) for name in exclude}
-        engine = self.placement.choose(self.run, ROUTE, left_out)
+    def choose_engine(self, *exclude: str) -> str | None:
+        excluded = {Incarnation(name) for name in exclude}
+        engine = self.placement.choose(self.run, ROUTE, excluded)
         return engine and engine.engine_id
 
 
@@ -73,9 +75,9 @@
     """
     setup = _Setup([1, 1, 1, 1])
     for index, gap in enumerate([0.08, 0.04, 0.08, 0.08]):
-        setup.pace(f"e-{index}", gap)
-    assert setup.chosen() == "e-1"
-    assert setup.chosen("e-1") == "e-0"
+        setup.set_gap(f"e-{index}", gap)
+    assert setup.choose_engine() == "e-1"
+    assert setup.choose_engine("e-1") == "e-0"
 
 
 def test_an_engine_whose_weights_are_too_old_is_left_out():
@@ -83,10 +85,10 @@
     A version that this node saw in an event counts before the engine's entry has it.
     """
     setup = _Setup([1, 2], oldest=2)
-    assert setup.chosen() == "e-1"
-    assert setup.chosen("e-1") is None
+    assert setup.choose_engine() == "e-1"
+    assert setup.choose_engine("e-1") is None
     setup.placement.record_version(make_engine_entry("e-0"), "model-a", 2)
-    assert setup.chosen("e-1") == "e-0"
+    assert setup.choose_engine("e-1") == "e-0"
 
 
 @pytest.mark.parametrize(
@@ -97,9 +99,9 @@
     It does not move if the other pace is similar or unknown.
     """
     setup = _Setup([1, 1])
-    setup.pace("e-0", 0.2)
+    setup.set_gap("e-0", 0.2)
     if other is not None:
-        setup.pace("e-1", other)
+        setup.set_gap("e-1", other)
     faster = setup.placement.find_faster(setup.run, make_engine_entry("e-0"))
     assert (faster is not None) == moves
 
@@ -110,10 +112,10 @@
     """
     setup = _Setup([1, 1])
     setup.silent.add(Incarnation("e-0"))
-    assert setup.chosen() == "e-1"
-    assert setup.chosen("e-1") is None
+    assert setup.choose_engine() == "e-1"
+    assert setup.choose_engine("e-1") is None
     setup.silent.clear()
-    assert setup.chosen("e-1") == "e-0"
+    assert setup.choose_engine("e-1") == "e-0"
 
 
 def test_an_engine_whose_streams_have_stopped_gets_no_item(monkeypatch):
@@ -126,7 +128,7 @@
     setup.placement.reserve(setup.run, engine)
     setup.run.times.enter(ItemPhase.EVENTS, now)
     setup.paces.observe(engine.incarnation, None, now)
-    other = setup.item()
+    other = setup.make_item_run()
     clock = "saddledoord.jobs.placement.boot_time"
     monkeypatch.setattr(clock, lambda: now + 0.1)
     assert setup.placement.choose(other, ROUTE, {Incarnation("e-1")}) is not None
@@ -139,23 +141,26 @@
     Texts of an old job start before those of the same length of a new one.
     """
     setup = _Setup([1])
-    short, long = setup.item(expected_tokens=500), setup.item(expected_tokens=9000)
-    later = setup.item(expected_tokens=500, first_seen_at=1.0)
+    short, long = (
+        setup.make_item_run(expected_tokens=500),
+        setup.make_item_run(expected_tokens=9000),
+    )
+    later = setup.make_item_run(expected_tokens=500, first_seen_at=1.0)
     order = sorted([later, short, long], key=setup.placement.latest_start)
     assert order == [long, short, later]
 
 
-def test_a_place_is_reserved_until_it_is_released():
+def test_a_slot_is_reserved_until_it_is_released():
     """
     A second release has no effect.
     """
     setup = _Setup([1, 1])
-    first = setup.chosen()
+    first = setup.choose_engine()
     reservation = setup.placement.reserve(setup.run, make_engine_entry(first))
-    assert setup.chosen() != first
+    assert setup.choose_engine() != first
     reservation.release()
     reservation.release()
-    assert setup.chosen() == first
+    assert setup.choose_engine() == first
 
 
 def test_a_pause_does_not_change_an_engine_s_pace():
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -58,10 +58,14 @@
     assert len({choose(idle).name for _ in range(50)}) == 4
 
 
-def _connections(policies: list[RoutingPolicy], engines: int) -> tuple[int, float]:
+def _count_connections_and_load(
+    policies: list[RoutingPolicy], engines: int
+) -> tuple[int, float]:
     """
-    Return how many connections nodes open for 30 requests each, a tenth of which come
-    while another is in flight, and the busiest engine's load relative to the mean.
+    Send 30 requests from each node, a tenth of them while another is in flight.
+
+    :returns: Number of connections opened, and the busiest engine's load relative to
+        the mean.
     """
     rng = Random(7)
     used: set[tuple[int, str]] = set()
@@ -83,10 +87,10 @@
     Otherwise every node opens a connection to every engine. The load stays even.
     """
     nodes = [f"vm-{n}" for n in range(195)]
-    before, _ = _connections(
+    before, _ = _count_connections_and_load(
         [least_outstanding(Random(n).random) for n in range(195)], 14
     )
-    after, busiest = _connections(
+    after, busiest = _count_connections_and_load(
         [least_outstanding_rendezvous(node) for node in nodes], 14
     )
     assert before > 2000
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Both daemons use the same functions of the library for the same decisions.
+The daemon and the gateway use the same functions of the library for the same decisions.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 #: Entry modules of the daemon and of the gateway.
 _DAEMON, _GATEWAY = "_daemon.py", "gateway.py"
 
-#: Names of the library that both daemons import, by subject.
+#: Names of the library that both import, by subject.
 _SHARED = {
     "leases": {
         "HeldLease",
@@ -73,15 +73,15 @@
 @pytest.mark.parametrize("subject", _SHARED)
 def test_shared_decisions_use_the_same_functions(subject):
     """
-    Neither daemon replaces a shared function of the library by its own.
+    Neither replaces a shared function of the library by its own.
     """
     assert _SHARED[subject] - _imported_names(_DAEMON) == set()
     assert _SHARED[subject] - _imported_names(_GATEWAY) == set()
 
 
-def test_names_that_both_daemons_import_are_listed():
+def test_names_that_daemon_and_gateway_import_are_listed():
     """
-    Every name that both daemons import is listed in `_SHARED`.
+    Every name that the daemon and the gateway import is listed in `_SHARED`.
     """
     shared = _imported_names(_DAEMON) & _imported_names(_GATEWAY)
     assert shared == set().union(*_SHARED.values())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -52,14 +52,14 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_series_of_different_processes_overlap(seed):
+def test_faults_of_different_processes_overlap(seed):
     """
-    Faults of one process do not overlap, and all lie within the run.
+    Faults of one process do not overlap; all faults lie within the run.
     """
     plan = SoakPlan.from_seed(seed, _SETTINGS)
     for target in (*EDGES, *POOL, *DESKS, STORE, OPERATOR, HOLDER):
-        series = plan.of(target)
-        for before, after in itertools.pairwise(series):
+        process_faults = plan.of(target)
+        for before, after in itertools.pairwise(process_faults):
             assert before.at + before.duration <= after.at
     assert all(0 < fault.at < _SETTINGS.seconds for fault in plan.faults)
     spans = [(f.at, f.at + f.duration) for f in plan.faults]
--- a/tests/test_spread_texts.py
+++ b/tests/test_spread_texts.py
@@ -31,17 +31,17 @@
 
 
 #: Bandwidth of a node's link to the store, in bytes per second.
-_BANDWIDTH = 3_000_000
+_NODE_BANDWIDTH = 3_000_000
 #: Timeout of a caller, in seconds.
 _CALLER_TIMEOUT = 1.5
 #: Number of items of a job.
 _ITEMS = 80
 #: Size of each text, in bytes.
-_TEXT = 6_500
+_TEXT_SIZE = 6_500
 #: Size of the texts of other jobs between two of these, in bytes.
-_GAP = 70_000
+_GAP_SIZE = 70_000
 #: Largest record of the log, in bytes.
-_LARGEST = 262_144
+_LARGEST_RECORD = 262_144
 
 
 def _false() -> bool:
@@ -56,7 +56,7 @@
     """
 
     def __init__(self, log: FakeLog, fail_after: int = 1000) -> None:
-        super().__init__(largest_record=_LARGEST)
+        super().__init__(largest_record=_LARGEST_RECORD)
         self.records = log.records
         self._sending = asyncio.Lock()
         self._left = fail_after
@@ -70,7 +70,7 @@
             if self._left < 0:
                 raise StoreUnavailableError("too slow")
             async with self._sending:
-                await asyncio.sleep(sum(map(len, page.records)) / _BANDWIDTH)
+                await asyncio.sleep(sum(map(len, page.records)) / _NODE_BANDWIDTH)
         return page
 
 
@@ -79,7 +79,9 @@
     """
     Run a node with an empty cache of texts.
     """
-    texts = TextStore(log, largest_record=_LARGEST, largest_append=8 * _LARGEST)
+    texts = TextStore(
+        log, largest_record=_LARGEST_RECORD, largest_append=8 * _LARGEST_RECORD
+    )
     jobs = JobService(
         log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _false, _false
     )
@@ -96,13 +98,13 @@
     """
     Return a log with ended jobs whose texts are spread among others.
     """
-    log = FakeLog(largest_record=_LARGEST)
+    log = FakeLog(largest_record=_LARGEST_RECORD)
     for name in names:
         records = [make_job_opened(make_job(_ITEMS, name))]
         for n in range(_ITEMS):
-            place = len(log.records["texts"])
-            log.records["texts"] += [_text(n).encode(), bytes(_GAP)]
-            result = ItemResult(f"item-{n}", True, StoredText((place,), _TEXT))
+            offset = len(log.records["texts"])
+            log.records["texts"] += [_text(n).encode(), bytes(_GAP_SIZE)]
+            result = ItemResult(f"item-{n}", True, StoredText((offset,), _TEXT_SIZE))
             records.append(ItemResultRecorded(name, result))
         records.append(JobEnded(name))
         log.records["jobs"] += map(encode_job_record, records)
@@ -110,7 +112,7 @@
 
 
 def _text(n: int) -> str:
-    return f"{n:05}" * (_TEXT // 5)
+    return f"{n:05}" * (_TEXT_SIZE // 5)
 
 
 async def _read_page(
@@ -164,7 +166,7 @@
     assert asyncio.run(run_scenario()) == [_text(n) for n in range(_ITEMS)]
 
 
-def test_two_spread_jobs_are_read_at_one_node_at_once():
+def test_one_node_reads_two_spread_jobs_concurrently():
     """
     Guards against readers that evict each other's pages from the cache.
     """
@@ -219,7 +221,7 @@
     """
 
     def __init__(self, log: FakeLog, max_page: int) -> None:
-        super().__init__(largest_record=_LARGEST)
+        super().__init__(largest_record=_LARGEST_RECORD)
         self.records = log.records
         self._max_page = max_page
 
--- a/tests/test_start_together.py
+++ b/tests/test_start_together.py
@@ -30,8 +30,8 @@
 
 
 #: Bandwidth of the store to all nodes together and to one node, in bytes a second.
-_SHARED_RATE = 80_000_000
-_NODE_RATE = 3_000_000
+_SHARED_BANDWIDTH = 80_000_000
+_NODE_BANDWIDTH = 3_000_000
 #: Number of jobs, and of items in each.
 _JOBS = 48
 _ITEMS = 80
@@ -39,7 +39,7 @@
 _BODY_SIZE = 500
 _TEXT_SIZE = 6_500
 #: Largest record of the log, in bytes.
-_MAX_RECORD = 262_144
+_LARGEST_RECORD = 262_144
 #: Timeout of one call by a caller, in seconds.
 _CALLER_TIMEOUT = 1.5
 #: Longest time until an old job can be read, in seconds.
@@ -71,9 +71,9 @@
     """
 
     def __init__(self, log: FakeLog, shared: _Link) -> None:
-        super().__init__(largest_record=_MAX_RECORD)
+        super().__init__(largest_record=_LARGEST_RECORD)
         self.records = log.records
-        self._links = (shared, _Link(_NODE_RATE))
+        self._links = (shared, _Link(_NODE_BANDWIDTH))
 
     async def read(
         self, stream, start, wait=0.0, max_bytes=1 << 20, answer_timeout=1.0
@@ -98,7 +98,9 @@
 
 
 def _service(log) -> JobService:
-    texts = TextStore(log, largest_record=_MAX_RECORD, largest_append=8 * _MAX_RECORD)
+    texts = TextStore(
+        log, largest_record=_LARGEST_RECORD, largest_append=8 * _LARGEST_RECORD
+    )
     return JobService(
         log, JobFold(), texts, ChangeNotifier(), 120.0, 300.0, _false, _false
     )
@@ -112,7 +114,7 @@
     """
     Return a log of jobs whose results were recorded before the nodes start.
     """
-    log = FakeLog(largest_record=_MAX_RECORD)
+    log = FakeLog(largest_record=_LARGEST_RECORD)
     writer = _service(log)
     task = asyncio.create_task(writer.run())
     for n in range(_JOBS):
@@ -127,9 +129,9 @@
 
 def _list_items(log: FakeLog, job_id: str) -> None:
     for n in range(_ITEMS):
-        place = StoredText((len(log.records["texts"]),), _TEXT_SIZE)
+        stored = StoredText((len(log.records["texts"]),), _TEXT_SIZE)
         log.records["texts"].append(b"a" * _TEXT_SIZE)
-        result = ItemResultRecorded(job_id, ItemResult(f"item-{n}", True, place))
+        result = ItemResultRecorded(job_id, ItemResult(f"item-{n}", True, stored))
         log.records["jobs"].append(encode_job_record(result))
 
 
@@ -158,7 +160,7 @@
 
     async def scenario():
         log = await _filled_log()
-        shared = _Link(_SHARED_RATE)
+        shared = _Link(_SHARED_BANDWIDTH)
         logs = [_watched(_SlowLog(log, shared)) for _ in range(nodes)]
         service = _service(logs[0])
         others = [LogFollower(log, "jobs", lambda *_: None) for log in logs[1:]]
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -27,8 +27,15 @@
     return at, fields | changes
 
 
-def _listed(at: float, group: str, place: float, events: float) -> tuple[float, dict]:
-    seconds = {"place": place, "first_event": 0.1, "events": events, "log": 0.05}
+def _listed(
+    at: float, group: str, placement_seconds: float, event_seconds: float
+) -> tuple[float, dict]:
+    seconds = {
+        "place": placement_seconds,
+        "first_event": 0.1,
+        "events": event_seconds,
+        "log": 0.05,
+    }
     return at, {
         "event": "group_listed",
         "job": "j1",
@@ -86,7 +93,7 @@
 
 def test_a_file_without_jobs_is_refused(tmp_path):
     """
-    An empty table would look like a period without any failures.
+    An empty table would look like a period without steps.
     """
     file = tmp_path / "vm.log"
     file.write_text("nothing\n")
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -71,7 +71,7 @@
 
 def test_a_silent_connection_is_noticed_while_others_answer():
     """
-    Its call is cancelled soon after it was due, and new connections are used.
+    The overdue call is cancelled, and new connections are used.
     """
 
     async def scenario():
@@ -123,7 +123,7 @@
 
 def test_whoever_expects_a_large_page_has_the_time_for_it():
     """
-    Fast answers to other calls do not cancel its read.
+    Fast answers to other calls do not cancel a read with a longer timeout.
     """
 
     async def scenario():
@@ -139,7 +139,7 @@
 
 def test_a_caller_that_is_cancelled_ends():
     """
-    Also if its call is cancelled as overdue at the same time.
+    A caller's cancellation takes effect even if its call is cancelled as overdue too.
     """
 
     async def scenario():
--- a/tests/test_texts.py
+++ b/tests/test_texts.py
@@ -43,7 +43,7 @@
     The log then holds it twice; one copy is referenced.
     """
     log = FakeLog()
-    log.lose = 1
+    log.lose_answers = 1
 
     async def scenario():
         stored = await _store(log).write([b"text"])
@@ -76,7 +76,7 @@
 
     async def scenario():
         stored = await _store(log).write([b"%d" % n for n in range(9)])
-        log.away = True
+        log.unreachable = True
         store = _store(log)
         reads = (store.read([text]) for text in stored)
         return await asyncio.gather(*reads, return_exceptions=True)
--- a/tests/test_unreadable_records.py
+++ b/tests/test_unreadable_records.py
@@ -264,9 +264,9 @@
     """
     record = draw(st.sampled_from(_RECORDS))
     fields = msgpack.unpackb(encode_job_record(record))
-    place = draw(st.integers(0, len(fields) - 1))
+    index = draw(st.integers(0, len(fields) - 1))
     length = draw(st.integers(0, 1))
-    fields[place : place + length] = draw(st.lists(_values, max_size=2))
+    fields[index : index + length] = draw(st.lists(_values, max_size=2))
     return msgpack.packb(fields)
 
 
@@ -276,20 +276,20 @@
     """
     A job record that is not rejected can be folded, and the job's state stays usable.
     """
-    book = JobFold()
+    fold = JobFold()
     for record in _RECORDS[:4]:
-        book.apply(record, boot_time())
+        fold.apply(record, boot_time())
     try:
         record = decode_job_record(data)
     except UndecodableRecordError:
         return
     assert decode_job_record(encode_job_record(record)) == record
-    book.apply(record, boot_time())
-    for state in book.open_jobs():
+    fold.apply(record, boot_time())
+    for state in fold.open_jobs():
         assert state.failures("item-1") >= 0
         assert state.job.series
-        assert book.oldest_allowed(state.job.model) >= 0
-    book.forget(boot_time(), 120.0, 300.0)
+        assert fold.oldest_allowed(state.job.model) >= 0
+    fold.forget(boot_time(), 120.0, 300.0)
 
 
 @_settings
--- a/tests/test_usage_duty.py
+++ b/tests/test_usage_duty.py
@@ -218,7 +218,7 @@
         for _ in range(60):
             nodes[0].counter.count("red", boot_time())
             nodes[1].counter.count("blue", boot_time())
-            log.lose = 1
+            log.lose_answers = 1
             await asyncio.sleep(0.02)
         await _until(lambda: len(platform.counts()) >= 4)
         assert {r.holder for r in platform.reports} == {"vm-0", "vm-1"}
@@ -237,11 +237,11 @@
         log, (node,) = _nodes(platform, 1)
         node.start()
         node.counter.count("red", boot_time())
-        log.away = True
+        log.unreachable = True
         node.lease.fence = 1
         await asyncio.sleep(1.5)
         assert platform.reports == []
-        log.away = False
+        log.unreachable = False
         await _until(lambda: any(r.counts == {"red": 1} for r in platform.reports))
 
     asyncio.run(run())
--- a/tests/test_work_shares.py
+++ b/tests/test_work_shares.py
@@ -182,11 +182,11 @@
                 await _until(lambda: a.holds)
                 await rest.enter_async_context(b.running())
                 await asyncio.sleep(0.3)
-                log.away = True
+                log.unreachable = True
                 await asyncio.sleep(1.6)
                 assert _owners(a, b) == [True, False]
             # The holder notices the end of the outage late.
-            log.away = False
+            log.unreachable = False
             await asyncio.sleep(0.6)
             async with a.running():
                 await asyncio.sleep(1.0)
@@ -224,7 +224,7 @@
 
     async def scenario():
         log = FakeLog()
-        log.lose = 1
+        log.lose_answers = 1
         node = _Node(log, "a")
         async with node.running():
             await _until(lambda: node.holds)
@@ -282,7 +282,7 @@
             await _until(lambda: a.holds)
             await rest.enter_async_context(b.running())
             await asyncio.sleep(0.3)
-            log.away = True
+            log.unreachable = True
             await asyncio.sleep(0.5)
             log.appends.clear()
             await asyncio.sleep(1.5)
