--- a/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
@@ -168,24 +168,24 @@
     """
     Run the measurements that the docs quote.
     """
-    from .bench.admission import fairness, overload
+    from .bench.admission import measure_fairness, measure_overload
     from .bench.routing import routing
-    from .bench.slopes import all_slopes, membership
-    from .bench.steps import order, preference
-    from .bench.swaps import swaps
+    from .bench.slopes import all_slopes, measure_membership
+    from .bench.steps import measure_order, measure_preference
+    from .bench.swaps import measure_swaps
 
     if name in ("routing", "all"):
         routing()
     if name in ("admission", "all"):
-        overload()
-        fairness()
+        measure_overload()
+        measure_fairness()
     if name in ("steps", "all"):
-        order()
-        preference()
+        measure_order()
+        measure_preference()
     if name in ("swaps", "all"):
-        swaps()
+        measure_swaps()
     if name == "membership":
-        membership()
+        measure_membership()
     if name in ("slopes", "all"):
         all_slopes()
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/admission.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/admission.py
@@ -20,7 +20,7 @@
 from .plots import plot_bars
 
 
-__all__ = ["fairness", "overload"]
+__all__ = ["measure_fairness", "measure_overload"]
 
 _SLOTS = 16
 #: Mean work of a request, in seconds and in tokens.
@@ -210,7 +210,7 @@
     return ((first, each * flood_factor), *((partner, each) for partner in others))
 
 
-def overload(seed: int = 1) -> list[tuple]:
+def measure_overload(seed: int = 1) -> list[tuple]:
     """
     Measure goodput at a load of 1, 2 and 5 times the capacity.
 
@@ -244,7 +244,7 @@
     return rows
 
 
-def fairness(seeds: tuple[int, ...] = (1, 2, 3)) -> list[tuple]:
+def measure_fairness(seeds: tuple[int, ...] = (1, 2, 3)) -> list[tuple]:
     """
     Measure the effect of a partner at ten times its share on the others.
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -40,7 +40,13 @@
 from ._table import print_table
 
 
-__all__ = ["claims", "configuration", "membership", "requests", "step_delivery"]
+__all__ = [
+    "measure_claims",
+    "measure_configuration",
+    "measure_membership",
+    "measure_requests",
+    "measure_step_delivery",
+]
 
 #: Measurement time of idle daemons, in seconds.
 _MEASURED_SECONDS = 10.0
@@ -52,7 +58,7 @@
 _SIZES = ((4, 4), (8, 8), (16, 16), (32, 32), (16, 64))
 
 
-def membership(sizes: tuple[tuple[int, int], ...] = _SIZES) -> list[tuple]:
+def measure_membership(sizes: tuple[tuple[int, int], ...] = _SIZES) -> list[tuple]:
     """
     Measure the idle daemons of one of two data centres.
 
@@ -135,7 +141,7 @@
     return validate("target", document)
 
 
-def configuration(sizes: tuple[int, ...] = (75, 300, 1200)) -> list[tuple]:
+def measure_configuration(sizes: tuple[int, ...] = (75, 300, 1200)) -> list[tuple]:
     """
     Measure the size and decoding time of a configuration record.
 
@@ -155,7 +161,7 @@
     return rows
 
 
-def claims(count: int = 22_000) -> list[tuple]:
+def measure_claims(count: int = 22_000) -> list[tuple]:
     """
     Measure the time and memory of folding one partition of claims.
 
@@ -185,7 +191,7 @@
     return [row]
 
 
-def step_delivery(samples: int = 4096, tokens: int = 480) -> list[tuple]:
+def measure_step_delivery(samples: int = 4096, tokens: int = 480) -> list[tuple]:
     """
     Measure the memory and time of the delivery of a large step.
 
@@ -216,7 +222,7 @@
     return [row]
 
 
-def requests(count: int = 300) -> list[tuple]:
+def measure_requests(count: int = 300) -> list[tuple]:
     """
     Measure the processor time per request of one daemon.
 
@@ -265,11 +271,11 @@
     Run all measurements that docs/CAPACITY.md is based on.
     """
     return {
-        "configuration": configuration(),
-        "claims": claims(),
-        "step_book": step_delivery(),
-        "requests": requests(),
-        "membership": membership(),
+        "configuration": measure_configuration(),
+        "claims": measure_claims(),
+        "step_book": measure_step_delivery(),
+        "requests": measure_requests(),
+        "membership": measure_membership(),
     }
 
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/steps.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/steps.py
@@ -18,7 +18,7 @@
 from .plots import plot_bars
 
 
-__all__ = ["order", "preference"]
+__all__ = ["measure_order", "measure_preference"]
 
 _SLOTS = 24
 _TOKEN_S = 0.0005
@@ -50,7 +50,7 @@
     return time.perf_counter() - began, generated
 
 
-def order(seeds: tuple[int, ...] = (1, 2, 3, 4, 5)) -> list[tuple]:
+def measure_order(seeds: tuple[int, ...] = (1, 2, 3, 4, 5)) -> list[tuple]:
     """
     Measure the duration of a step with a long tail by the order of its samples.
 
@@ -77,7 +77,7 @@
     return rows
 
 
-def preference(seeds: tuple[int, ...] = (1, 2, 3)) -> list[tuple]:
+def measure_preference(seeds: tuple[int, ...] = (1, 2, 3)) -> list[tuple]:
     """
     Measure both settings of a trainer's preference with real processes.
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/swaps.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/swaps.py
@@ -13,12 +13,12 @@
 from ._table import print_table
 
 
-__all__ = ["swaps"]
+__all__ = ["measure_swaps"]
 
 _ENGINES = 8
 
 
-def swaps() -> list[tuple]:
+def measure_swaps() -> list[tuple]:
     """
     Measure a swap of eight engines in one data centre, without and with failures.
 
