--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Resource costs per node, engine, request and token, for docs/CAPACITY.md.
+Resource costs per node, engine, request and token: the slopes of docs/CAPACITY.md.
 """
 
 from __future__ import annotations
