--- a/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/__main__.py
@@ -148,7 +148,7 @@
     """
     from saddledoor.tracing import read_trace
 
-    from .record import SCENARIOS, VIOLATING_TRACES, write_violating_trace
+    from .record import SCENARIOS, TRACE_ALTERATIONS, write_altered_trace
     from .record import record as record_one
 
     for name in SCENARIOS:
@@ -157,9 +157,9 @@
         path = record_one(name, folder)
         click.echo(f"recorded {path}")
         events = read_trace(str(path), path.read_text().splitlines())
-        for promise, (source, _) in VIOLATING_TRACES.items():
+        for promise, (source, _) in TRACE_ALTERATIONS.items():
             if source == name:
-                click.echo(f"recorded {write_violating_trace(path, events, promise)}")
+                click.echo(f"recorded {write_altered_trace(path, events, promise)}")
 
 
 @main.command()
@@ -168,24 +168,24 @@
     """
     Run the measurements that the docs quote.
     """
-    from .bench.admission import fairness, overload
+    from .bench.admission import measure_fairness, measure_overload
     from .bench.routing import routing
-    from .bench.slopes import all_slopes, membership
-    from .bench.steps import order, preference
-    from .bench.swaps import swaps
+    from .bench.slopes import all_slopes, measure_membership
+    from .bench.steps import measure_order, measure_preference
+    from .bench.swaps import measure_swaps
 
     if name in ("routing", "all"):
         routing()
     if name in ("admission", "all"):
-        overload()
-        fairness()
+        measure_overload()
+        measure_fairness()
     if name in ("steps", "all"):
-        order()
-        preference()
+        measure_order()
+        measure_preference()
     if name in ("swaps", "all"):
-        swaps()
+        measure_swaps()
     if name == "membership":
-        membership()
+        measure_membership()
     if name in ("slopes", "all"):
         all_slopes()
 
--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 
 """
-Resource costs per node, engine, request and token, for docs/CAPACITY.md.
+Resource costs per node, engine, request and token: the slopes of docs/CAPACITY.md.
 """
 
 from __future__ import annotations
@@ -35,12 +35,18 @@
     validate,
 )
 
-from ..testbed import Shape, Testbed, digest
+from ..testbed import Shape, Testbed, token_digest
 from ._process import cpu_seconds, resident_mb
 from ._table import print_table
 
 
-__all__ = ["claims", "configuration", "membership", "requests", "step_delivery"]
+__all__ = [
+    "measure_claims",
+    "measure_configuration",
+    "measure_membership",
+    "measure_requests",
+    "measure_step_delivery",
+]
 
 #: Measurement time of idle daemons, in seconds.
 _MEASURED_SECONDS = 10.0
@@ -52,7 +58,7 @@
 _SIZES = ((4, 4), (8, 8), (16, 16), (32, 32), (16, 64))
 
 
-def membership(sizes: tuple[tuple[int, int], ...] = _SIZES) -> list[tuple]:
+def measure_membership(sizes: tuple[tuple[int, int], ...] = _SIZES) -> list[tuple]:
     """
     Measure the idle daemons of one of two data centres.
 
@@ -124,7 +130,7 @@
         "trainers": [
             {
                 "name": f"trainer-{n}",
-                "token_sha256": digest(f"trainer-{n}"),
+                "token_sha256": token_digest(f"trainer-{n}"),
                 "pool": "pool",
                 "model": f"model-{n}",
                 "staleness_bound": 2,
@@ -135,7 +141,7 @@
     return validate("target", document)
 
 
-def configuration(sizes: tuple[int, ...] = (75, 300, 1200)) -> list[tuple]:
+def measure_configuration(sizes: tuple[int, ...] = (75, 300, 1200)) -> list[tuple]:
     """
     Measure the size and decoding time of a configuration record.
 
@@ -155,7 +161,7 @@
     return rows
 
 
-def claims(count: int = 22_000) -> list[tuple]:
+def measure_claims(count: int = 22_000) -> list[tuple]:
     """
     Measure the time and memory of folding one partition of claims.
 
@@ -185,7 +191,7 @@
     return [row]
 
 
-def step_delivery(samples: int = 4096, tokens: int = 480) -> list[tuple]:
+def measure_step_delivery(samples: int = 4096, tokens: int = 480) -> list[tuple]:
     """
     Measure the memory and time of the delivery of a large step.
 
@@ -197,18 +203,18 @@
         for n in range(samples)
     ]
     tracemalloc.start()
-    book = StepDelivery.open(1, 1, specs)
-    missing = _milliseconds(lambda: book.missing)
+    delivery = StepDelivery.open(1, 1, specs)
+    missing = _milliseconds(lambda: delivery.missing)
     runs = (VersionRun(1, 0, tokens - 1),)
     for spec in specs:
         text = f"{spec.slot.group} " + "four" * tokens
-        book.add(Sample(spec.slot, text, tokens, runs))
+        delivery.add(Sample(spec.slot, text, tokens, runs))
     memory = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     began = time.perf_counter()
     cursor = 0
     for _ in range(samples // 256):
-        cursor = book.fetch(FetchRequest(1, cursor, 1, 256)).number
+        cursor = delivery.fetch(FetchRequest(1, cursor, 1, 256)).number
     fetch = (time.perf_counter() - began) * 1000 / (samples // 256)
     head = ("samples", "MB all ready", "ms to list missing", "ms per fetch of 256")
     row = (samples, memory, missing, fetch)
@@ -216,7 +222,7 @@
     return [row]
 
 
-def requests(count: int = 300) -> list[tuple]:
+def measure_requests(count: int = 300) -> list[tuple]:
     """
     Measure the processor time per request of one daemon.
 
@@ -230,7 +236,7 @@
         vm = "dc-a-vm1"
         kinds: list[tuple[str, int, Callable[[int], object]]] = [
             ("look-up", count, lambda n: bed.look_up(vm)),
-            ("booking with a key", count, lambda n: bed.book(vm, f"r{n}", f"k{n}")),
+            ("booking with a key", count, lambda n: bed.delivery(vm, f"r{n}", f"k{n}")),
             ("40 tokens", count // 3, lambda n: bed.complete(vm, "p", 40)),
             ("400 tokens", count // 6, lambda n: bed.complete(vm, "p", 400)),
         ]
@@ -265,11 +271,11 @@
     Run all measurements that docs/CAPACITY.md is based on.
     """
     return {
-        "configuration": configuration(),
-        "claims": claims(),
-        "step_book": step_delivery(),
-        "requests": requests(),
-        "membership": membership(),
+        "configuration": measure_configuration(),
+        "claims": measure_claims(),
+        "step_book": measure_step_delivery(),
+        "requests": measure_requests(),
+        "membership": measure_membership(),
     }
 
 
