--- a/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
+++ b/packages/saddledoor-standins/src/saddledoor_standins/bench/slopes.py
@@ -236,7 +236,7 @@
         vm = "dc-a-vm1"
         kinds: list[tuple[str, int, Callable[[int], object]]] = [
             ("look-up", count, lambda n: bed.look_up(vm)),
-            ("booking with a key", count, lambda n: bed.delivery(vm, f"r{n}", f"k{n}")),
+            ("booking with a key", count, lambda n: bed.book(vm, f"r{n}", f"k{n}")),
             ("40 tokens", count // 3, lambda n: bed.complete(vm, "p", 40)),
             ("400 tokens", count // 6, lambda n: bed.complete(vm, "p", 400)),
         ]
